--- a/daemon/src/life.rs
+++ b/daemon/src/life.rs
@@ -13,13 +13,13 @@
 }
 
 struct Inner {
-    machine: StateMachine<lifecycle::Life>,
+    machine: StateMachine<lifecycle::Lifecycle>,
     in_flight: usize,
 }
 
 impl Default for Life {
     fn default() -> Life {
-        let machine = lifecycle::Life::machine();
+        let machine = lifecycle::Lifecycle::machine();
         Life {
             inner: Mutex::new(Inner { machine, in_flight: 0 }),
             phase: watch::Sender::new(lifecycle::Phase::Starting),
--- a/decision/src/lifecycle.rs
+++ b/decision/src/lifecycle.rs
@@ -31,21 +31,21 @@
 
 /// State of the machine. Invariant: no way leads back from draining.
 #[derive(Debug)]
-pub struct Life {
+pub struct Lifecycle {
     in_flight: usize,
     phase: Phase,
 }
 
-impl Default for Life {
-    fn default() -> Life {
-        Life { in_flight: 0, phase: Phase::Starting }
+impl Default for Lifecycle {
+    fn default() -> Lifecycle {
+        Lifecycle { in_flight: 0, phase: Phase::Starting }
     }
 }
 
-impl Life {
+impl Lifecycle {
     /// A machine in its first state.
-    pub fn machine() -> StateMachine<Life> {
-        Life::default().state_machine()
+    pub fn machine() -> StateMachine<Lifecycle> {
+        Lifecycle::default().state_machine()
     }
 
     /// What the process may do.
@@ -67,7 +67,7 @@
     state(derive(Debug)),
     after_transition = "Self::note"
 )]
-impl Life {
+impl Lifecycle {
     #[state]
     fn starting(&mut self, event: &Event) -> Outcome<State> {
         match event {
--- a/gateway/src/drain.rs
+++ b/gateway/src/drain.rs
@@ -49,7 +49,7 @@
 }
 
 struct Inner {
-    machine: StateMachine<lifecycle::Life>,
+    machine: StateMachine<lifecycle::Lifecycle>,
     in_flight: usize,
     /// What each open connection answers, by its number.
     connections: BTreeMap<u64, exchange::Exchange>,
@@ -75,7 +75,7 @@
     /// A life that begins, of a process that may use so many descriptors. Each
     /// client's connection may need another one to a backend server.
     pub fn new(max_descriptors: usize) -> Life {
-        let machine = lifecycle::Life::machine();
+        let machine = lifecycle::Lifecycle::machine();
         let inner = Inner {
             machine,
             in_flight: 0,
