--- a/decision/src/balancer.rs
+++ b/decision/src/balancer.rs
@@ -342,7 +342,7 @@
             End::Full => self.wait_again(ticket, now, &mut actions),
             End::Withheld => self.take_back(ticket, now, &mut actions),
             End::NeverRan => {
-                self.follow(ticket, retry::Knowledge::NeverRan, false, now, &mut actions);
+                self.follow(ticket, retry::Execution::NeverRan, false, now, &mut actions);
             }
             End::Unreachable => self.follow_never_ran(ticket, pool, now, &mut actions),
             End::GroupDown => {
@@ -350,10 +350,10 @@
                 self.follow_never_ran(ticket, pool, now, &mut actions);
             }
             End::ServerEnded => {
-                self.follow(ticket, retry::Knowledge::ServerEnded, false, now, &mut actions);
+                self.follow(ticket, retry::Execution::ServerEnded, false, now, &mut actions);
             }
             End::MayHaveRun { answer_begun } => {
-                self.follow(ticket, retry::Knowledge::MayHaveRun, answer_begun, now, &mut actions);
+                self.follow(ticket, retry::Execution::MayHaveRun, answer_begun, now, &mut actions);
             }
         }
         self.pump(pool, now, &mut actions);
--- a/decision/src/balancer/follow.rs
+++ b/decision/src/balancer/follow.rs
@@ -47,7 +47,7 @@
                 self.drain(pool, Reason::GroupDown, actions);
             }
         } else {
-            self.follow(ticket, retry::Knowledge::NeverRan, false, now, actions);
+            self.follow(ticket, retry::Execution::NeverRan, false, now, actions);
         }
     }
 
@@ -55,16 +55,16 @@
     pub(super) fn follow(
         &mut self,
         ticket: entity::Ticket,
-        knowledge: retry::Knowledge,
+        execution: retry::Execution,
         answer_begun: bool,
         now: clock::Instant,
         actions: &mut Vec<Action>,
     ) {
         let Some(pending) = self.pending.get_mut(&ticket) else { return };
         pending.failures += 1;
-        pending.runs += u32::from(knowledge != retry::Knowledge::NeverRan);
-        let case = retry::Case {
-            knowledge,
+        pending.runs += u32::from(execution != retry::Execution::NeverRan);
+        let failure = retry::Failure {
+            execution,
             repeatable: pending.arrival.repeatable,
             answer_begun,
             resumable: pending.arrival.resumable,
@@ -73,9 +73,9 @@
             failures: pending.failures,
         };
         let outcome = outcome(pending.runs);
-        let reason = if knowledge == retry::Knowledge::ServerEnded {
+        let reason = if execution == retry::Execution::ServerEnded {
             Reason::ServerEnded
-        } else if !retry::safe(&case) {
+        } else if !retry::is_safe(&failure) {
             Reason::Attempts
         } else if pending.arrival.deadline <= now {
             Reason::Admission(admission::Refusal::Deadline)
--- a/decision/src/balancer/rest.rs
+++ b/decision/src/balancer/rest.rs
@@ -172,7 +172,7 @@
         pending.group = None;
         if pending.attempts == 0 {
             self.tally.first -= 1;
-            self.budget.take_back();
+            self.budget.cancel_deposit();
         } else {
             self.tally.again -= 1;
         }
--- a/decision/src/retry.rs
+++ b/decision/src/retry.rs
@@ -46,7 +46,7 @@
     }
 
     /// A first attempt that was counted was not sent after all.
-    pub fn take_back(&mut self) {
+    pub fn cancel_deposit(&mut self) {
         self.saved = (self.saved - self.ratio).max(0.0);
     }
 
@@ -62,7 +62,7 @@
 
 /// What is known of an attempt that failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Knowledge {
+pub enum Execution {
     /// It never started and never will.
     NeverRan,
     /// It started, or may have.
@@ -75,9 +75,9 @@
 
 /// What the failed attempt's request is like.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Case {
+pub struct Failure {
     /// What is known of the attempt.
-    pub knowledge: Knowledge,
+    pub execution: Execution,
     /// Whether the class may be repeated.
     pub repeatable: bool,
     /// Whether the caller has seen a part of the answer.
@@ -93,14 +93,14 @@
 }
 
 /// Whether another attempt would be safe, the budget aside.
-pub fn safe(case: &Case) -> bool {
-    let resumed = case.resumable || !case.answer_begun;
-    if !resumed || case.runs >= case.max_runs || case.failures >= MAX_ATTEMPTS {
+pub fn is_safe(failure: &Failure) -> bool {
+    let resumed = failure.resumable || !failure.answer_begun;
+    if !resumed || failure.runs >= failure.max_runs || failure.failures >= MAX_ATTEMPTS {
         return false;
     }
-    match case.knowledge {
-        Knowledge::NeverRan => true,
-        Knowledge::MayHaveRun => case.repeatable,
-        Knowledge::ServerEnded => false,
+    match failure.execution {
+        Execution::NeverRan => true,
+        Execution::MayHaveRun => failure.repeatable,
+        Execution::ServerEnded => false,
     }
 }
