--- a/daemon/src/entry/dispatcher.rs
+++ b/daemon/src/entry/dispatcher.rs
@@ -274,7 +274,7 @@
     /// Teams as the status shows them.
     pub fn teams(&self) -> Vec<status::Team> {
         let inner = self.lock();
-        let held = |team: &entity::Team| inner.balancer.queue().held(*team);
+        let held = |team: &entity::Team| inner.balancer.queue().team_requests(*team);
         let busy = inner.limits.iter().filter(|(team, _)| held(team) > 0);
         busy.map(|(team, limit)| status::Team {
             name: inner.teams.name(*team).to_string(),
--- a/decision/src/admission.rs
+++ b/decision/src/admission.rs
@@ -1,7 +1,7 @@
 //! Who goes first while requests wait for a backend server.
 //!
 //! Each pool has a queue for each precedence. Between precedences the most
-//! urgent goes first, save that every [`PATIENCE`]th choice goes to the one
+//! urgent goes first, save that every [`STARVATION_INTERVAL`]th choice goes to the one
 //! that has waited longest among the others, so that none starves. Within a precedence,
 //! teams share by weight: start-time fair queueing, after Goyal, Vin and
 //! Cheng, 1996, with one request as the unit of cost. A request that cannot
@@ -18,7 +18,7 @@
 use crate::{clock, entity, episode};
 
 /// One choice in this many goes past the most urgent precedence.
-pub const PATIENCE: u32 = 8;
+pub const STARVATION_INTERVAL: u32 = 8;
 /// Weight of the newest sample in the mean time between departures.
 const RATE_GAIN: f64 = 0.1;
 /// Weight of the newest sample in the mean time of an answer.
@@ -143,13 +143,13 @@
     }
 
     /// Pools that somebody waits for, in the order of their ids.
-    pub fn waited_for(&self) -> Vec<entity::Pool> {
+    pub fn waiting_pools(&self) -> Vec<entity::Pool> {
         let waited = self.pools.iter().filter(|(_, line)| line.len() > 0);
         waited.map(|(pool, _)| *pool).collect()
     }
 
     /// Requests of a team in flight and waiting.
-    pub fn held(&self, team: entity::Team) -> u32 {
+    pub fn team_requests(&self, team: entity::Team) -> u32 {
         self.held[team]
     }
 
@@ -158,7 +158,7 @@
     /// # Errors
     ///
     /// [`Refusal::TeamLimit`].
-    pub fn hold(&mut self, team: entity::Team) -> Result<(), Refusal> {
+    pub fn acquire(&mut self, team: entity::Team) -> Result<(), Refusal> {
         if self.held[team] >= self.shares[team].limit {
             return Err(Refusal::TeamLimit);
         }
@@ -183,7 +183,7 @@
     pub fn push(&mut self, waiter: Waiter, now: clock::Instant) -> Result<Option<Waiter>, Refusal> {
         let wait = self.expected_wait(waiter.pool, waiter.precedence);
         let starts = now + wait;
-        if self.too_late(&waiter, starts) || (starts > now && starts > waiter.expires) {
+        if self.misses_deadline(&waiter, starts) || (starts > now && starts > waiter.expires) {
             return Err(Refusal::Deadline);
         }
         let mut displaced = None;
@@ -224,25 +224,25 @@
     }
 
     /// Mean time of a whole answer of the pool.
-    pub fn service(&self, pool: entity::Pool) -> Duration {
+    pub fn mean_service_time(&self, pool: entity::Pool) -> Duration {
         self.pools.get(&pool).map_or(Duration::ZERO, Line::service)
     }
 
     /// Whether a waiter that were sent at that time would miss its deadline.
-    pub fn too_late(&self, waiter: &Waiter, sent: clock::Instant) -> bool {
+    pub fn misses_deadline(&self, waiter: &Waiter, sent: clock::Instant) -> bool {
         let service = self.pools.get(&waiter.pool).map_or(Duration::ZERO, Line::service);
         sent + service >= waiter.deadline
     }
 
     /// Drops the estimate of how long answers of the pool take, until the next one.
-    pub fn forget_service(&mut self, pool: entity::Pool) {
+    pub fn reset_service_time(&mut self, pool: entity::Pool) {
         if let Some(line) = self.pools.get_mut(&pool) {
             line.service = None;
         }
     }
 
     /// An answer of the pool began that long after it was sent for.
-    pub fn begun(&mut self, pool: entity::Pool, time: Duration) {
+    pub fn record_first_byte(&mut self, pool: entity::Pool, time: Duration) {
         let line = self.pools.entry(pool).or_default();
         let sample = time.as_secs_f64();
         let (mean, deviation) = line.begin.unwrap_or((sample, 0.0));
@@ -253,7 +253,7 @@
 
     /// Until when a request may wait whose answer is to begin by then. It may
     /// always be sent at once.
-    pub fn latest(&self, pool: entity::Pool, begin_by: clock::Instant) -> clock::Instant {
+    pub fn latest_dispatch(&self, pool: entity::Pool, begin_by: clock::Instant) -> clock::Instant {
         let begin = self.pools.get(&pool).and_then(|line| line.begin);
         let (mean, deviation) = begin.unwrap_or_default();
         begin_by.before(Duration::from_secs_f64(mean + BEGIN_DEVIATIONS * deviation))
@@ -271,7 +271,7 @@
     }
 
     /// A request of the pool was answered whole in that time.
-    pub fn served(&mut self, pool: entity::Pool, time: Duration) {
+    pub fn record_answer(&mut self, pool: entity::Pool, time: Duration) {
         let line = self.pools.entry(pool).or_default();
         let sample = time.as_secs_f64();
         let mean = line.service.unwrap_or(sample);
@@ -279,7 +279,7 @@
     }
 
     /// Takes out all waiters that can no longer make their deadline.
-    pub fn sweep(&mut self, now: clock::Instant) -> Vec<Waiter> {
+    pub fn remove_expired(&mut self, now: clock::Instant) -> Vec<Waiter> {
         let mut late = Vec::new();
         for line in self.pools.values_mut() {
             line.sweep(now, &mut late);
@@ -290,7 +290,7 @@
 
     /// Takes out those waiters for a pool that could not make their deadline if the
     /// first one were sent at that time, and each other one so much later.
-    pub fn sweep_for(
+    pub fn remove_late(
         &mut self,
         pool: entity::Pool,
         first: clock::Instant,
@@ -316,7 +316,12 @@
     /// When a refused caller should come back where the pool has room for one each
     /// `spacing`, whichever gateway it asks then: each is told a time of its own. Who
     /// would have to stay away for too long is told a time among those of others.
-    pub fn book(&mut self, pool: entity::Pool, spacing: Duration, now: clock::Instant) -> Duration {
+    pub fn reserve_return(
+        &mut self,
+        pool: entity::Pool,
+        spacing: Duration,
+        now: clock::Instant,
+    ) -> Duration {
         let shortest = self.shortest_return;
         let line = self.pools.entry(pool).or_default();
         let free = line.booked.max(now) + spacing;
@@ -325,7 +330,7 @@
     }
 
     /// A request of the pool got a backend server; the rate is learnt from this.
-    pub fn depart(&mut self, pool: entity::Pool, now: clock::Instant) {
+    pub fn record_departure(&mut self, pool: entity::Pool, now: clock::Instant) {
         let line = self.pools.entry(pool).or_default();
         if let Some(before) = line.departed {
             let sample = now.since(before).as_secs_f64();
@@ -347,7 +352,7 @@
     /// over. Callers are told times that differ, so that they do not come back together.
     pub fn retry_after(&self, pool: entity::Pool, least: Duration) -> Duration {
         let line = self.pools.get(&pool);
-        let full = line.and_then(|line| line.full.left()).unwrap_or(Duration::ZERO);
+        let full = line.and_then(|line| line.full.expected_duration()).unwrap_or(Duration::ZERO);
         let refused = line.map_or(0, |line| line.refused);
         let wait = self.expected_wait(pool, u32::MAX).max(full).max(least);
         let wait = wait.max(self.shortest_return);
@@ -447,7 +452,7 @@
             .min_by_key(|(_, band)| band.oldest())
             .map(|(precedence, _)| *precedence);
         let chosen = match patient {
-            Some(other) if self.streak + 1 >= PATIENCE => other,
+            Some(other) if self.streak + 1 >= STARVATION_INTERVAL => other,
             _ => urgent,
         };
         self.streak = if chosen == urgent && patient.is_some() { self.streak + 1 } else { 0 };
--- a/decision/src/balancer.rs
+++ b/decision/src/balancer.rs
@@ -199,7 +199,7 @@
         let ticket = entity::Ticket::from_u32(self.next);
         self.next = self.next.wrapping_add(1) & (u32::MAX >> 1);
         let mut actions = Vec::new();
-        if let Err(refusal) = self.queue.hold(arrival.team) {
+        if let Err(refusal) = self.queue.acquire(arrival.team) {
             self.refuse_new(ticket, &arrival, Reason::Admission(refusal), &mut actions);
             return (ticket, actions);
         }
@@ -280,10 +280,10 @@
     /// Drops the estimate of how long answers take where it alone would reject a request
     /// and none is in flight: no answer would ever correct it.
     fn drop_stale_estimate(&mut self, waiter: &admission::Waiter, now: clock::Instant) {
-        let refused = now < waiter.deadline && self.queue.too_late(waiter, now);
+        let refused = now < waiter.deadline && self.queue.misses_deadline(waiter, now);
         let idle = || self.servers.usable(waiter.pool).all(|(_, record)| record.in_flight == 0);
         if refused && idle() {
-            self.queue.forget_service(waiter.pool);
+            self.queue.reset_service_time(waiter.pool);
         }
     }
 
@@ -296,7 +296,7 @@
         self.group_answers(group, sent, now);
         let Place::Sent(server) = place else { return };
         if let Some(sent) = sent {
-            self.queue.begun(pool, now.since(sent));
+            self.queue.record_first_byte(pool, now.since(sent));
             self.servers[server].standing.answers(sent);
         }
         self.servers[server].health.answered(after);
@@ -329,9 +329,9 @@
                 self.group_answers(group, sent, now);
                 self.tally.answered += 1;
                 if let Some(sent) = sent {
-                    self.queue.served(pool, now.since(sent));
+                    self.queue.record_answer(pool, now.since(sent));
                     if !begun {
-                        self.queue.begun(pool, now.since(sent));
+                        self.queue.record_first_byte(pool, now.since(sent));
                     }
                 }
                 self.finish(ticket);
@@ -364,7 +364,7 @@
     pub fn tick(&mut self, now: clock::Instant) -> Vec<Action> {
         self.note_rested(now);
         let mut actions = Vec::new();
-        for late in self.queue.sweep(now) {
+        for late in self.queue.remove_expired(now) {
             let reason = Reason::Admission(admission::Refusal::Deadline);
             self.give_up(late.ticket, Outcome::NotRun, reason, &mut actions);
         }
@@ -414,7 +414,7 @@
 
     fn pump_all(&mut self, now: clock::Instant) -> Vec<Action> {
         let mut actions = Vec::new();
-        for pool in self.queue.waited_for() {
+        for pool in self.queue.waiting_pools() {
             self.pump(pool, now, &mut actions);
         }
         actions
@@ -428,7 +428,7 @@
                 break;
             }
             let Some(next) = self.queue.pop(pool) else { break };
-            if self.queue.too_late(&next, now) {
+            if self.queue.misses_deadline(&next, now) {
                 let reason = Reason::Admission(admission::Refusal::Deadline);
                 self.give_up(next.ticket, Outcome::NotRun, reason, actions);
                 continue;
@@ -461,7 +461,7 @@
         arrival: &Arrival,
         since: clock::Instant,
     ) -> admission::Waiter {
-        let latest = arrival.begin_by.map(|by| self.queue.latest(arrival.pool, by));
+        let latest = arrival.begin_by.map(|by| self.queue.latest_dispatch(arrival.pool, by));
         admission::Waiter {
             ticket,
             pool: arrival.pool,
--- a/decision/src/balancer/choose.rs
+++ b/decision/src/balancer/choose.rs
@@ -82,7 +82,7 @@
         } else {
             self.tally.again += 1;
         }
-        self.queue.depart(pool, now);
+        self.queue.record_departure(pool, now);
         let attempt = pending.attempts;
         let dispatch = Dispatch { ticket, attempt, choice, considered, passed_over, at: now };
         actions.push(Action::Send(dispatch));
--- a/decision/src/balancer/group.rs
+++ b/decision/src/balancer/group.rs
@@ -81,7 +81,7 @@
         now: clock::Instant,
     ) -> Option<clock::Instant> {
         let back = now + self.expected(arrival.pool, now)?;
-        let served = back + self.queue.service(arrival.pool);
+        let served = back + self.queue.mean_service_time(arrival.pool);
         (served < arrival.deadline).then(|| back + HOLD_SLACK)
     }
 
--- a/decision/src/balancer/rest.rs
+++ b/decision/src/balancer/rest.rs
@@ -147,9 +147,9 @@
         let Some(until) = self.closed_until(pool, now) else { return };
         let limits = self.limits_of(pool);
         let spacing = limits.map_or(Duration::ZERO, |limits| limits.spacing);
-        for late in self.queue.sweep_for(pool, until, spacing) {
+        for late in self.queue.remove_late(pool, until, spacing) {
             let reason = match limits {
-                Some(limits) => Reason::Limited(self.queue.book(pool, limits.share, now)),
+                Some(limits) => Reason::Limited(self.queue.reserve_return(pool, limits.share, now)),
                 None => Reason::Resting(until.since(now)),
             };
             self.give_up(late.ticket, Outcome::NotRun, reason, actions);
--- a/decision/src/episode.rs
+++ b/decision/src/episode.rs
@@ -30,7 +30,7 @@
 
     /// How long it is expected to hold on: as long as it mostly does, however
     /// long it has held; `None` before the first one has ended.
-    pub fn left(&self) -> Option<Duration> {
+    pub fn expected_duration(&self) -> Option<Duration> {
         self.mean
     }
 }
--- a/decision/tests/balancer.rs
+++ b/decision/tests/balancer.rs
@@ -243,7 +243,7 @@
     }
     let order: Vec<u32> = (0..20).map(|_| queue.pop(pool()).unwrap().precedence).collect();
     let low = order.iter().filter(|precedence| **precedence == 1).count();
-    assert_eq!(low, 20 / admission::PATIENCE as usize, "{order:?}");
+    assert_eq!(low, 20 / admission::STARVATION_INTERVAL as usize, "{order:?}");
 }
 
 #[test]
--- a/decision/tests/episodes.rs
+++ b/decision/tests/episodes.rs
@@ -9,7 +9,7 @@
 fn nothing_is_expected_before_the_first_has_ended() {
     let mut episode = Episode::default();
     episode.begin(Instant::from_millis(5));
-    assert_eq!(episode.left(), None);
+    assert_eq!(episode.expected_duration(), None);
 }
 
 #[test]
@@ -24,9 +24,9 @@
         episode.end(now);
         episode.end(now + Duration::from_millis(100));
     }
-    assert_eq!(episode.left(), Some(Duration::from_millis(400)));
+    assert_eq!(episode.expected_duration(), Some(Duration::from_millis(400)));
     episode.begin(now);
     episode.end(now + Duration::from_secs(2));
-    let left = episode.left().unwrap_or_default();
+    let left = episode.expected_duration().unwrap_or_default();
     assert!(left > Duration::from_millis(800) && left < Duration::from_secs(1), "{left:?}");
 }
