--- a/decision/src/balancer/group.rs
+++ b/decision/src/balancer/group.rs
@@ -32,15 +32,15 @@
 impl Group {
     /// A request was sent to one of its ranks.
     pub(super) fn enter(&mut self, now: clock::Instant) {
-        self.outage.sent(now);
-        self.pace.sent(self.in_flight, now);
+        self.outage.record_dispatch(now);
+        self.pace.record_dispatch(self.in_flight, now);
         self.in_flight += 1;
     }
 
     /// Whether it serves nothing at present, as far as is known: it is broken or
     /// out of reach and no probe is due, or it stands still.
     fn down(&self, now: clock::Instant) -> bool {
-        !self.outage.admits(now) || self.pace.stalled(self.in_flight, now)
+        !self.outage.admits(now) || self.pace.is_stalled(self.in_flight, now)
     }
 
     /// Whether it can take one more request.
@@ -69,7 +69,7 @@
     pub(super) fn expected(&self, pool: entity::Pool, now: clock::Instant) -> Option<Duration> {
         let form = *self.forms.get(&pool)?;
         let groups = self.servers.usable(pool).filter_map(|(_, record)| record.listing.group);
-        groups.filter_map(|group| self.groups[group].outage.expected(form, now)).min()
+        groups.filter_map(|group| self.groups[group].outage.expected_recovery(form, now)).min()
     }
 
     /// Until when a request may wait for a group that is about to serve again;
@@ -89,14 +89,14 @@
     pub fn set_share_of_servers(&mut self, share: Share) {
         self.share = share;
         for group in self.groups.values_mut() {
-            group.outage.share(share.of);
+            group.outage.set_gateways(share.of);
         }
     }
 
     /// An answer told how many requests its backend server runs and keeps waiting.
     pub fn loaded(&mut self, server: entity::Server, requests: u32) {
         if let Some(group) = self.servers[server].listing.group {
-            self.groups[group].pace.report(requests);
+            self.groups[group].pace.record_streams(requests);
         }
     }
 
@@ -113,10 +113,10 @@
         let Some(pending) = self.pending.get(&ticket) else { return actions };
         let pool = pending.arrival.pool;
         let Some(id) = pending.group else { return actions };
-        if self.groups[id].pace.event(pause, now) {
+        if self.groups[id].pace.record_event(pause, now) {
             let view = self.view(pool, id);
             let group = &mut self.groups[id];
-            let ground = group.pace.settle(wanted, &view, now);
+            let ground = group.pace.update_bound(wanted, &view, now);
             let binds = ground.in_flight >= group.pace.bound();
             if binds && now.since(group.noted) >= NOTE_INTERVAL {
                 group.noted = now;
@@ -127,7 +127,7 @@
         actions
     }
 
-    fn view(&self, pool: entity::Pool, id: entity::Group) -> pace::View {
+    fn view(&self, pool: entity::Pool, id: entity::Group) -> pace::Snapshot {
         // Ranks of a drained zone take part in each pass.
         let members = self.servers.iter().map(|(_, record)| record);
         let of_group = |record: &&server::Record| {
@@ -137,7 +137,7 @@
         let (ranks, slots) = members.fold((0, 0), |(ranks, slots): (u32, u32), record| {
             (ranks + 1, slots.max(record.report.slots))
         });
-        pace::View {
+        pace::Snapshot {
             ranks,
             slots,
             in_flight: self.groups[id].in_flight,
@@ -162,7 +162,7 @@
         now: clock::Instant,
     ) {
         let (Some(group), Some(sent)) = (group, sent) else { return };
-        let change = self.groups[group].outage.answered(sent, now);
+        let change = self.groups[group].outage.record_answer(sent, now);
         self.believe(group, change, now);
     }
 
@@ -174,36 +174,36 @@
         now: clock::Instant,
     ) {
         let (Some(group), Some(sent)) = (group, sent) else { return };
-        let change = self.groups[group].outage.refused(sent, now);
+        let change = self.groups[group].outage.record_refusal(sent, now);
         self.believe(group, change, now);
     }
 
     /// No connection to a rank of the group came about.
     pub(super) fn group_unreached(&mut self, server: entity::Server, now: clock::Instant) {
         let Some(group) = self.servers[server].listing.group else { return };
-        let change = self.groups[group].outage.unreached(server, now);
+        let change = self.groups[group].outage.record_connect_failure(server, now);
         self.believe(group, change, now);
     }
 
     /// A connection to a rank of a group that was out of reach came about.
     pub fn reached(&mut self, group: entity::Group, now: clock::Instant) -> Vec<Action> {
-        let change = self.groups[group].outage.reached(now);
+        let change = self.groups[group].outage.record_connection(now);
         self.believe(group, change, now);
         self.pump_all(now)
     }
 
     /// Takes what the entries of the ranks tell.
     pub(super) fn hear(&mut self, now: clock::Instant) {
-        let mut told: BTreeMap<entity::Group, outage::News> = BTreeMap::new();
+        let mut told: BTreeMap<entity::Group, outage::Status> = BTreeMap::new();
         for (_, record) in self.servers.iter().filter(|(_, record)| record.listed) {
             let (Some(group), Some(news)) = (record.listing.group, record.listing.news) else {
                 continue;
             };
-            told.entry(group).and_modify(|before| *before = before.with(news)).or_insert(news);
+            told.entry(group).and_modify(|before| *before = before.merge(news)).or_insert(news);
         }
         for (group, news) in told {
-            self.groups[group].outage.share(self.share.of);
-            let change = self.groups[group].outage.hear(news, now);
+            self.groups[group].outage.set_gateways(self.share.of);
+            let change = self.groups[group].outage.update(news, now);
             self.believe(group, change, now);
         }
     }
--- a/decision/src/balancer/message.rs
+++ b/decision/src/balancer/message.rs
@@ -227,7 +227,7 @@
     /// so; it gets nothing until that is settled.
     Unsettled(entity::Server),
     /// The group carries as many own streams as its bound allows.
-    Bound(entity::Group, pace::Ground),
+    Bound(entity::Group, pace::Bound),
 }
 
 /// What the daemon is to do.
--- a/decision/src/breaker.rs
+++ b/decision/src/breaker.rs
@@ -34,12 +34,12 @@
     /// So many callers probe the group: each seldom enough that all together
     /// probe as often as one alone. Forty that each probed every 150 ms sent
     /// more requests into a broken group than its callers had.
-    pub fn share(&mut self, callers: u32) {
+    pub fn set_callers(&mut self, callers: u32) {
         self.interval = PROBE_INTERVAL.saturating_mul(callers.max(1)).min(LONGEST_INTERVAL);
     }
 
     /// The group refused. Returns whether this opened the breaker.
-    pub fn refused(&mut self, now: clock::Instant) -> bool {
+    pub fn record_refusal(&mut self, now: clock::Instant) -> bool {
         self.probed = now;
         let opens = self.opened.is_none();
         self.opened.get_or_insert(now);
@@ -47,7 +47,7 @@
     }
 
     /// An answer began. Returns for how long the breaker was open, if it was.
-    pub fn answered(&mut self, now: clock::Instant) -> Option<Duration> {
+    pub fn record_answer(&mut self, now: clock::Instant) -> Option<Duration> {
         self.opened.take().map(|opened| now.since(opened))
     }
 
@@ -68,7 +68,7 @@
 
     /// A request went through; through an open breaker it is a probe, and the
     /// next one follows after a while.
-    pub fn sent(&mut self, now: clock::Instant) {
+    pub fn record_dispatch(&mut self, now: clock::Instant) {
         if self.is_open() {
             self.probed = now;
         }
--- a/decision/src/outage.rs
+++ b/decision/src/outage.rs
@@ -7,7 +7,7 @@
 //! for the gateways of the zone that is cut off, which reach none of its ranks.
 //!
 //! Three things tell of an outage: a rank that refuses, the entries of the ranks
-//! ([`News`]), and connections to several ranks in a row that do not come about.
+//! ([`Status`]), and connections to several ranks in a row that do not come about.
 //! Its end is told by entries of a later epoch, by a connection that comes about,
 //! or else by a probe. Where entries told nothing, each of 42 gateways probed a
 //! broken group by a caller's request every 150 ms: of some 67 callers a second
@@ -27,7 +27,7 @@
 
 /// Time that a rank's entry takes to tell that the group has formed: the store and
 /// a peer. A guess: not measured by itself, and not tried at half and twice.
-const NEWS_TIME: Duration = Duration::from_millis(300);
+const STATUS_DELAY: Duration = Duration::from_millis(300);
 
 /// Why a group is believed not to serve.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -52,7 +52,7 @@
 
 /// What the entries of a group's ranks tell, taken together.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct News {
+pub struct Status {
     /// Newest epoch that a rank tells.
     pub epoch: u64,
     /// Whether the group runs in it.
@@ -61,15 +61,15 @@
     pub ranks: (u32, u32),
 }
 
-impl News {
+impl Status {
     /// What one rank tells, and what is left when another one's is added: the
     /// newest epoch counts, and within one a rank that tells of its end.
-    pub fn with(self, other: News) -> News {
+    pub fn merge(self, other: Status) -> Status {
         match self.epoch.cmp(&other.epoch) {
             std::cmp::Ordering::Less => other,
             std::cmp::Ordering::Greater => self,
             std::cmp::Ordering::Equal if self.state == other.state => {
-                News { ranks: (self.ranks.0 + other.ranks.0, self.ranks.1), ..self }
+                Status { ranks: (self.ranks.0 + other.ranks.0, self.ranks.1), ..self }
             }
             std::cmp::Ordering::Equal if other.state == fleet::Standing::Broken => other,
             std::cmp::Ordering::Equal => self,
@@ -111,8 +111,8 @@
 
 impl Outage {
     /// So many gateways probe the group.
-    pub fn share(&mut self, gateways: u32) {
-        self.breaker.share(gateways);
+    pub fn set_gateways(&mut self, gateways: u32) {
+        self.breaker.set_callers(gateways);
     }
 
     /// Why the group is believed not to serve, if it is.
@@ -126,12 +126,12 @@
     }
 
     /// A request was sent to it.
-    pub fn sent(&mut self, now: clock::Instant) {
-        self.breaker.sent(now);
+    pub fn record_dispatch(&mut self, now: clock::Instant) {
+        self.breaker.record_dispatch(now);
     }
 
     /// A rank refused a request that was sent then, for its group is broken.
-    pub fn refused(&mut self, sent: clock::Instant, now: clock::Instant) -> Option<Change> {
+    pub fn record_refusal(&mut self, sent: clock::Instant, now: clock::Instant) -> Option<Change> {
         // It says nothing of a group that has returned meanwhile.
         if self.returned > sent {
             return None;
@@ -141,7 +141,7 @@
     }
 
     /// The ranks' entries, as they are now known.
-    pub fn hear(&mut self, news: News, now: clock::Instant) -> Option<Change> {
+    pub fn update(&mut self, news: Status, now: clock::Instant) -> Option<Change> {
         self.epoch = self.epoch.max(Some(news.epoch));
         self.forming = news.forming().then(|| self.forming.unwrap_or(now));
         let over = self.over >= Some(news.epoch);
@@ -157,7 +157,11 @@
     }
 
     /// No connection to a rank came about.
-    pub fn unreached(&mut self, rank: entity::Server, now: clock::Instant) -> Option<Change> {
+    pub fn record_connect_failure(
+        &mut self,
+        rank: entity::Server,
+        now: clock::Instant,
+    ) -> Option<Change> {
         self.unreached.insert(rank);
         if self.unreached.len() < UNREACHED || self.breaker.is_open() {
             return None;
@@ -167,7 +171,7 @@
 
     /// A connection to a rank came about, where none did before. The group
     /// serves, unless its epoch is known to be over.
-    pub fn reached(&mut self, now: clock::Instant) -> Option<Change> {
+    pub fn record_connection(&mut self, now: clock::Instant) -> Option<Change> {
         self.unreached.clear();
         if self.ground != Some(Ground::Unreached) {
             return None;
@@ -179,7 +183,7 @@
     }
 
     /// An answer to a request that was sent then began.
-    pub fn answered(&mut self, sent: clock::Instant, now: clock::Instant) -> Option<Change> {
+    pub fn record_answer(&mut self, sent: clock::Instant, now: clock::Instant) -> Option<Change> {
         // One of before the outage is no probe.
         if self.breaker.opened().is_some_and(|opened| sent < opened) {
             return None;
@@ -190,19 +194,19 @@
 
     /// How long it takes until the group is expected to serve again, where a
     /// group forms in that time; none where nothing tells.
-    pub fn expected(&self, form: Duration, now: clock::Instant) -> Option<Duration> {
-        let due = self.forming? + form + NEWS_TIME;
+    pub fn expected_recovery(&self, form: Duration, now: clock::Instant) -> Option<Duration> {
+        let due = self.forming? + form + STATUS_DELAY;
         (due > now).then(|| due.since(now))
     }
 
     fn open(&mut self, ground: Ground, now: clock::Instant) -> Option<Change> {
         self.ground = Some(ground);
-        self.breaker.refused(now).then_some(Change::Down(ground))
+        self.breaker.record_refusal(now).then_some(Change::Down(ground))
     }
 
     fn close(&mut self, now: clock::Instant) -> Option<Change> {
         self.ground = None;
-        let down = self.breaker.answered(now)?;
+        let down = self.breaker.record_answer(now)?;
         self.returned = now;
         Some(Change::Up(down))
     }
--- a/decision/src/pace.rs
+++ b/decision/src/pace.rs
@@ -51,7 +51,7 @@
 
 /// What is known of a group beside its pauses.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct View {
+pub struct Snapshot {
     /// Ranks that take requests.
     pub ranks: u32,
     /// Streams that a rank runs at a time.
@@ -66,7 +66,7 @@
 
 /// What a bound was settled by, for the log.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Ground {
+pub struct Bound {
     /// Own streams that may be in flight.
     pub bound: f64,
     /// Own streams in flight.
@@ -120,7 +120,7 @@
     }
 
     /// An answer told how many streams its rank runs and keeps waiting.
-    pub fn report(&mut self, streams: u32) {
+    pub fn record_streams(&mut self, streams: u32) {
         let sample = f64::from(streams);
         let mean = self.streams.unwrap_or(sample);
         self.streams = Some(mean + REPORT_GAIN * (sample - mean));
@@ -128,7 +128,7 @@
 
     /// An event came after a pause, which is zero for a stream's first one.
     /// Returns whether the bound is to be settled.
-    pub fn event(&mut self, pause: Duration, now: clock::Instant) -> bool {
+    pub fn record_event(&mut self, pause: Duration, now: clock::Instant) -> bool {
         self.progress = now;
         if !pause.is_zero() {
             self.pauses.push(pause.as_secs_f32());
@@ -138,7 +138,12 @@
 
     /// Settles the bound by the pauses since the last time, where events are
     /// wanted within `wanted`.
-    pub fn settle(&mut self, wanted: Duration, view: &View, now: clock::Instant) -> Ground {
+    pub fn update_bound(
+        &mut self,
+        wanted: Duration,
+        view: &Snapshot,
+        now: clock::Instant,
+    ) -> Bound {
         self.changed = now;
         let in_flight = f64::from(view.in_flight);
         self.own += OWN_GAIN * (in_flight - self.own);
@@ -172,7 +177,7 @@
         };
         let even_part = fitting * ranks / gateways;
         self.bound = (own_part + EVENING * (even_part - own_part)).max(LEAST);
-        Ground { bound: self.bound, in_flight: view.in_flight, streams, fitting, skew, allowed }
+        Bound { bound: self.bound, in_flight: view.in_flight, streams, fitting, skew, allowed }
     }
 
     fn remember(&mut self, skew: f64, now: clock::Instant) {
@@ -199,14 +204,14 @@
 
     /// A stream was sent: the time without events counts from here at the least,
     /// if there was no other stream.
-    pub fn sent(&mut self, in_flight_before: u32, now: clock::Instant) {
+    pub fn record_dispatch(&mut self, in_flight_before: u32, now: clock::Instant) {
         if in_flight_before == 0 {
             self.progress = now;
         }
     }
 
     /// Whether the group's streams stand still.
-    pub fn stalled(&self, in_flight: u32, now: clock::Instant) -> bool {
+    pub fn is_stalled(&self, in_flight: u32, now: clock::Instant) -> bool {
         in_flight > 1 && now.since(self.progress) > STALL
     }
 }
--- a/decision/src/routing/server.rs
+++ b/decision/src/routing/server.rs
@@ -63,7 +63,7 @@
     /// Group that it runs in lock-step with, if it is a rank of one.
     pub group: Option<entity::Group>,
     /// What its entry tells of the group.
-    pub news: Option<outage::News>,
+    pub news: Option<outage::Status>,
     /// Its availability zone.
     pub zone: Arc<str>,
     /// Whether that is the entry host's own.
--- a/decision/tests/outage.rs
+++ b/decision/tests/outage.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use loftcove_decision::fleet::Standing;
-use loftcove_decision::outage::{Change, Ground, News, Outage};
+use loftcove_decision::outage::{Change, Ground, Outage, Status};
 use loftcove_decision::routing::{policy, server};
 use loftcove_decision::{balancer, clock, entity};
 use rand_chacha::ChaCha8Rng;
@@ -21,12 +21,12 @@
     entity::Server::from_u32(number)
 }
 
-const fn open(epoch: u64) -> News {
-    News { epoch, state: Standing::Open, ranks: (1, 3) }
+const fn open(epoch: u64) -> Status {
+    Status { epoch, state: Standing::Open, ranks: (1, 3) }
 }
 
-const fn broken(epoch: u64) -> News {
-    News { epoch, state: Standing::Broken, ranks: (1, 3) }
+const fn broken(epoch: u64) -> Status {
+    Status { epoch, state: Standing::Broken, ranks: (1, 3) }
 }
 
 /// Gateways that probe the group in these tests.
@@ -34,29 +34,29 @@
 
 fn outage() -> Outage {
     let mut outage = Outage::default();
-    outage.share(GATEWAYS);
+    outage.set_gateways(GATEWAYS);
     outage
 }
 
 #[test]
 fn the_newest_epoch_counts_and_its_end_before_its_beginning() {
-    assert_eq!(open(1).with(broken(1)), broken(1));
-    assert_eq!(broken(1).with(open(1)), broken(1), "an entry that is not yet rewritten");
-    assert_eq!(broken(1).with(open(2)), open(2));
-    assert_eq!(open(2).with(broken(1)), open(2));
+    assert_eq!(open(1).merge(broken(1)), broken(1));
+    assert_eq!(broken(1).merge(open(1)), broken(1), "an entry that is not yet rewritten");
+    assert_eq!(broken(1).merge(open(2)), open(2));
+    assert_eq!(open(2).merge(broken(1)), open(2));
 }
 
 #[test]
 fn a_group_is_down_from_the_first_rank_that_says_so_to_a_later_epoch() {
     let mut outage = outage();
-    assert_eq!(outage.hear(open(1), at(0)), None);
-    let down = outage.refused(at(10), at(20));
+    assert_eq!(outage.update(open(1), at(0)), None);
+    let down = outage.record_refusal(at(10), at(20));
     assert_eq!(down, Some(Change::Down(Ground::Refused)));
     assert!(!outage.admits(at(1_000)));
     // Entries of the epoch that is over tell nothing new.
-    assert_eq!(outage.hear(open(1), at(30)), None);
-    assert_eq!(outage.hear(broken(1), at(1_200)), None);
-    assert_eq!(outage.hear(open(2), at(6_020)), Some(Change::Up(Duration::from_millis(6_000))));
+    assert_eq!(outage.update(open(1), at(30)), None);
+    assert_eq!(outage.update(broken(1), at(1_200)), None);
+    assert_eq!(outage.update(open(2), at(6_020)), Some(Change::Up(Duration::from_millis(6_000))));
     assert!(outage.admits(at(6_020)));
     assert_eq!(outage.ground(), None);
 }
@@ -64,47 +64,50 @@
 #[test]
 fn entries_tell_of_a_break_that_nobody_here_has_met() {
     let mut outage = outage();
-    assert_eq!(outage.hear(broken(0), at(0)), Some(Change::Down(Ground::Told)));
+    assert_eq!(outage.update(broken(0), at(0)), Some(Change::Down(Ground::Told)));
     assert!(!outage.admits(at(500)));
-    assert_eq!(outage.hear(open(1), at(600)), Some(Change::Up(Duration::from_millis(600))));
-    assert_eq!(outage.hear(broken(1), at(900)), Some(Change::Down(Ground::Told)));
+    assert_eq!(outage.update(open(1), at(600)), Some(Change::Up(Duration::from_millis(600))));
+    assert_eq!(outage.update(broken(1), at(900)), Some(Change::Down(Ground::Told)));
 }
 
 #[test]
 fn what_was_sent_before_a_change_says_nothing_of_it() {
     let mut outage = outage();
-    outage.hear(open(1), at(0));
-    outage.refused(at(10), at(20));
+    outage.update(open(1), at(0));
+    outage.record_refusal(at(10), at(20));
     // An answer that was on its way is no probe.
-    assert_eq!(outage.answered(at(15), at(25)), None);
+    assert_eq!(outage.record_answer(at(15), at(25)), None);
     assert!(!outage.admits(at(100)));
-    outage.hear(open(2), at(6_000));
+    outage.update(open(2), at(6_000));
     // Nor does a refusal of before tell of the new epoch.
-    assert_eq!(outage.refused(at(5_990), at(6_010)), None);
+    assert_eq!(outage.record_refusal(at(5_990), at(6_010)), None);
     assert!(outage.admits(at(6_010)));
 }
 
 #[test]
 fn a_group_of_which_no_rank_is_reached_is_out_of_reach_until_one_is() {
     let mut outage = outage();
-    outage.hear(open(1), at(0));
-    assert_eq!(outage.unreached(rank(1), at(0)), None);
-    assert_eq!(outage.unreached(rank(1), at(1)), None, "the same one");
-    assert_eq!(outage.unreached(rank(2), at(2)), None);
-    assert_eq!(outage.unreached(rank(3), at(3)), Some(Change::Down(Ground::Unreached)));
+    outage.update(open(1), at(0));
+    assert_eq!(outage.record_connect_failure(rank(1), at(0)), None);
+    assert_eq!(outage.record_connect_failure(rank(1), at(1)), None, "the same one");
+    assert_eq!(outage.record_connect_failure(rank(2), at(2)), None);
+    assert_eq!(
+        outage.record_connect_failure(rank(3), at(3)),
+        Some(Change::Down(Ground::Unreached))
+    );
     // Beyond the cut the group serves on, which is no help here.
-    assert_eq!(outage.hear(open(1), at(100)), None);
+    assert_eq!(outage.update(open(1), at(100)), None);
     assert!(!outage.admits(at(1_000)));
-    assert_eq!(outage.reached(at(5_003)), Some(Change::Up(Duration::from_millis(5_000))));
+    assert_eq!(outage.record_connection(at(5_003)), Some(Change::Up(Duration::from_millis(5_000))));
 }
 
 #[test]
 fn single_ranks_that_are_gone_stop_no_group() {
     let mut outage = outage();
     for round in 0..10 {
-        assert_eq!(outage.unreached(rank(1), at(round * 10)), None);
-        assert_eq!(outage.unreached(rank(2), at(round * 10 + 1)), None);
-        outage.answered(at(round * 10 + 2), at(round * 10 + 3));
+        assert_eq!(outage.record_connect_failure(rank(1), at(round * 10)), None);
+        assert_eq!(outage.record_connect_failure(rank(2), at(round * 10 + 1)), None);
+        outage.record_answer(at(round * 10 + 2), at(round * 10 + 3));
     }
     assert!(outage.admits(at(200)));
 }
@@ -112,26 +115,26 @@
 #[test]
 fn a_group_that_is_reached_again_may_yet_be_broken() {
     let mut outage = outage();
-    outage.hear(open(1), at(0));
+    outage.update(open(1), at(0));
     for number in 0..3 {
-        outage.unreached(rank(number), at(10));
+        outage.record_connect_failure(rank(number), at(10));
     }
-    outage.hear(broken(1), at(2_000));
-    assert_eq!(outage.reached(at(4_000)), None);
+    outage.update(broken(1), at(2_000));
+    assert_eq!(outage.record_connection(at(4_000)), None);
     assert!(!outage.admits(at(4_000)));
-    assert!(outage.hear(open(2), at(5_600)).is_some());
+    assert!(outage.update(open(2), at(5_600)).is_some());
 }
 
 #[test]
 fn all_gateways_together_probe_as_often_as_one_alone() {
     let probes = |gateways: u32| -> usize {
         let mut outage = Outage::default();
-        outage.share(gateways);
-        outage.refused(at(0), at(0));
+        outage.set_gateways(gateways);
+        outage.record_refusal(at(0), at(0));
         let mut probes = 0;
         for ms in 0..6_000 {
             if outage.admits(at(ms)) {
-                outage.sent(at(ms));
+                outage.record_dispatch(at(ms));
                 probes += 1;
             }
         }
@@ -177,7 +180,7 @@
         restart
     }
 
-    fn list(&mut self, telling: u32, news: News, now: clock::Instant) -> Vec<balancer::Action> {
+    fn list(&mut self, telling: u32, news: Status, now: clock::Instant) -> Vec<balancer::Action> {
         let listing = |number: u32| server::Listing {
             host: format!("host{number}").into(),
             born: None,
@@ -255,7 +258,7 @@
     let options = balancer::Options::default().charge_full(true).retry_ratio(0.15);
     let mut balancer = balancer::Balancer::new(policy, &options.retry_reserve(4.2));
     balancer.set_share_of_servers(balancer::Share { number: 0, of: GATEWAYS });
-    let listing = |number: u32, news: News| server::Listing {
+    let listing = |number: u32, news: Status| server::Listing {
         host: format!("host{number}").into(),
         born: None,
         pool: entity::Pool::from_u32(0),
@@ -268,7 +271,7 @@
         cold: None,
     };
     let list =
-        |news: News| (0..20).map(move |n| listing(n, if n % 2 == 0 { open(1) } else { news }));
+        |news: Status| (0..20).map(move |n| listing(n, if n % 2 == 0 { open(1) } else { news }));
     balancer.list(list(open(1)).collect(), at(0));
     for number in 0..20 {
         balancer.connect(rank(number), true, at(0));
--- a/decision/tests/pace.rs
+++ b/decision/tests/pace.rs
@@ -5,7 +5,7 @@
 
 use loftcove_decision::breaker::Breaker;
 use loftcove_decision::clock::Instant;
-use loftcove_decision::pace::{Pace, View};
+use loftcove_decision::pace::{Pace, Snapshot};
 use loftcove_decision::pass;
 
 const TICK: Duration = Duration::from_millis(50);
@@ -42,20 +42,20 @@
             let pause = Duration::from_secs_f64(COST.time(load) * skew(load));
             for (number, pace) in self.paces.iter_mut().enumerate() {
                 let in_flight = self.streams[number];
-                pace.report(load.round() as u32);
+                pace.record_streams(load.round() as u32);
                 let mut due = false;
                 for _ in 0..(in_flight.ceil() as u32).max(2) {
-                    due |= pace.event(pause, self.now);
+                    due |= pace.record_event(pause, self.now);
                 }
                 if due {
-                    let view = View {
+                    let view = Snapshot {
                         ranks: Fleet::RANKS,
                         slots: 12,
                         in_flight: in_flight.round() as u32,
                         gateways: wanted.len() as u32,
                         cost: COST,
                     };
-                    pace.settle(WANTED, &view, self.now);
+                    pace.update_bound(WANTED, &view, self.now);
                 }
                 let kept = in_flight * (1.0 - TICK.as_secs_f64() / 1.5);
                 let limit = f64::from(pace.bound().min(1_000)).max(kept);
@@ -118,13 +118,13 @@
 fn a_group_without_events_stands_still() {
     let mut pace = Pace::default();
     let mut now = Instant::from_millis(1_000);
-    pace.sent(0, now);
-    assert!(!pace.stalled(5, now + Duration::from_millis(400)));
-    assert!(pace.stalled(5, now + Duration::from_millis(500)));
+    pace.record_dispatch(0, now);
+    assert!(!pace.is_stalled(5, now + Duration::from_millis(400)));
+    assert!(pace.is_stalled(5, now + Duration::from_millis(500)));
     now = now + Duration::from_millis(500);
-    pace.event(Duration::from_millis(80), now);
-    assert!(!pace.stalled(5, now));
-    assert!(!pace.stalled(0, now + Duration::from_secs(9)), "nothing is in flight");
+    pace.record_event(Duration::from_millis(80), now);
+    assert!(!pace.is_stalled(5, now));
+    assert!(!pace.is_stalled(0, now + Duration::from_secs(9)), "nothing is in flight");
 }
 
 #[test]
@@ -132,15 +132,15 @@
     let mut breaker = Breaker::default();
     let now = Instant::from_millis(1_000);
     assert!(breaker.admits(now));
-    assert!(breaker.refused(now));
+    assert!(breaker.record_refusal(now));
     assert!(!breaker.admits(now + Duration::from_millis(100)));
     let probe = now + Duration::from_millis(200);
     assert!(breaker.admits(probe));
-    breaker.sent(probe);
+    breaker.record_dispatch(probe);
     assert!(!breaker.admits(probe + Duration::from_millis(10)));
-    assert!(!breaker.refused(probe + Duration::from_millis(20)), "it was open before");
-    let open = breaker.answered(now + Duration::from_secs(3));
+    assert!(!breaker.record_refusal(probe + Duration::from_millis(20)), "it was open before");
+    let open = breaker.record_answer(now + Duration::from_secs(3));
     assert_eq!(open, Some(Duration::from_secs(3)));
-    breaker.sent(now + Duration::from_secs(3));
+    breaker.record_dispatch(now + Duration::from_secs(3));
     assert!(breaker.admits(now + Duration::from_secs(3)));
 }
--- a/dispatch/src/lib.rs
+++ b/dispatch/src/lib.rs
@@ -61,9 +61,9 @@
 }
 
 impl Rank {
-    fn news(&self) -> Option<outage::News> {
+    fn news(&self) -> Option<outage::Status> {
         let told = self.told.as_ref()?;
-        Some(outage::News { epoch: told.epoch, state: told.state, ranks: (1, told.size) })
+        Some(outage::Status { epoch: told.epoch, state: told.state, ranks: (1, told.size) })
     }
 }
 
