--- a/decision/src/admission.rs
+++ b/decision/src/admission.rs
@@ -1,11 +1,12 @@
-//! Who goes first while requests wait for a backend server.
+//! Admission and scheduling of requests that wait for a backend server.
 //!
-//! Each pool has a queue for each precedence. Between precedences the most
-//! urgent goes first, save that every [`STARVATION_INTERVAL`]th choice goes to the one
-//! that has waited longest among the others, so that none starves. Within a precedence,
-//! teams share by weight: start-time fair queueing, after Goyal, Vin and
-//! Cheng, 1996, with one request as the unit of cost. A request that cannot
-//! make its deadline at the present rate is refused at once.
+//! Each pool has a queue for each precedence. The most urgent precedence is
+//! served first. To prevent starvation, every [`STARVATION_INTERVAL`]th choice
+//! goes to the precedence whose oldest waiter has waited longest among the
+//! others. Within a precedence, teams share by weight with start-time fair
+//! queueing (Goyal, Vin and Cheng, 1996); the unit of cost is one request. A
+//! request that cannot meet its deadline at the current departure rate is
+//! rejected immediately.
 
 mod band;
 
@@ -17,60 +18,60 @@
 use crate::admission::band::{Band, End};
 use crate::{clock, entity, episode};
 
-/// One choice in this many goes past the most urgent precedence.
+/// One choice in this many is made among the less urgent precedences.
 pub const STARVATION_INTERVAL: u32 = 8;
 /// Weight of the newest sample in the mean time between departures.
-const RATE_GAIN: f64 = 0.1;
-/// Weight of the newest sample in the mean time of an answer.
+const DEPARTURE_GAIN: f64 = 0.1;
+/// Weight of the newest sample in the mean time until an answer is complete.
 const SERVICE_GAIN: f64 = 0.05;
-/// Weight of the newest sample in the mean time until an answer begins and in
-/// its deviation.
-const BEGIN_GAIN: f64 = 0.1;
-/// Deviations above the mean that an answer may take to begin: it is then in
-/// time for nearly all.
-const BEGIN_DEVIATIONS: f64 = 2.0;
-/// Longest time that a refused caller is told to stay away.
-const LONGEST_RETURN: Duration = Duration::from_secs(30);
-
-/// Why a request was refused before any attempt.
+/// Weight of the newest sample in the mean time to the first byte of an answer
+/// and in its deviation.
+const FIRST_BYTE_GAIN: f64 = 0.1;
+/// Mean deviations added to the mean time to the first byte, so that nearly
+/// all answers begin in time.
+const FIRST_BYTE_DEVIATIONS: f64 = 2.0;
+/// Longest retry delay that a rejected client is given.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
+
+/// Reason for rejecting a request before any attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
 pub enum Refusal {
-    /// The team has as many requests here as its limit allows.
+    /// The team has reached its limit of requests in flight and waiting.
     #[error("team-limit")]
     TeamLimit,
-    /// The queue is full and the team holds its share of it.
+    /// The queue is full and the team already uses its share of it.
     #[error("queue-full")]
     QueueFull,
-    /// The request cannot make its deadline.
+    /// The request cannot meet its deadline.
     #[error("deadline")]
     Deadline,
 }
 
-/// A request that waits.
+/// A waiting request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Waiter {
     /// Id of the request.
     pub ticket: entity::Ticket,
-    /// Pool that it waits for.
+    /// Pool whose backend servers can serve it.
     pub pool: entity::Pool,
     /// Team that sent it.
     pub team: entity::Team,
-    /// Precedence of its class; 0 goes first.
+    /// Precedence of its class; 0 is the most urgent.
     pub precedence: u32,
-    /// When its answer is due.
+    /// Time at which the whole answer is due.
     pub deadline: clock::Instant,
-    /// Until when it may wait; no later than the deadline.
+    /// Time at which it stops waiting; no later than the deadline.
     pub expires: clock::Instant,
-    /// When it began to wait.
+    /// Time at which it was queued.
     pub since: clock::Instant,
 }
 
-/// What one team may do.
+/// Weight and request limit of a team.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Share {
-    /// Share relative to the other teams.
+    /// Weight relative to the other teams.
     pub weight: u32,
-    /// Requests in flight and waiting at the most.
+    /// Maximum number of requests in flight and waiting.
     pub limit: u32,
 }
 
@@ -84,73 +85,74 @@
 #[derive(Debug)]
 pub struct Queue {
     capacity: usize,
-    shortest_return: Duration,
+    min_retry_after: Duration,
     waiting: usize,
     shares: SecondaryMap<entity::Team, Share>,
-    held: SecondaryMap<entity::Team, u32>,
-    pools: BTreeMap<entity::Pool, Line>,
+    team_requests: SecondaryMap<entity::Team, u32>,
+    pools: BTreeMap<entity::Pool, Pool>,
 }
 
-/// The queue of one pool.
+/// Queue and estimates of one pool.
 #[derive(Debug, Default)]
-struct Line {
+struct Pool {
     bands: BTreeMap<u32, Band>,
-    /// Choices of the most urgent precedence since another had its turn.
-    streak: u32,
-    /// Mean time between departures, seconds; none before the second one.
-    spacing: Option<f64>,
+    /// Choices of the most urgent precedence since another one was chosen.
+    urgent_streak: u32,
+    /// Mean time between departures, seconds; `None` before the second one.
+    departure_interval: Option<f64>,
     departed: Option<clock::Instant>,
-    /// Mean time from sending to the whole answer, seconds.
-    service: Option<f64>,
-    /// Mean time from sending to the beginning of the answer, and its mean
+    /// Mean time from dispatch to the whole answer, seconds.
+    service_time: Option<f64>,
+    /// Mean time from dispatch to the first byte of the answer, and its mean
     /// deviation, seconds.
-    begin: Option<(f64, f64)>,
-    /// Times in which all its backend servers had no room.
-    full: episode::Episode,
-    /// Callers that were refused for want of room, for the spread of their returns.
-    refused: u32,
-    /// Until when callers were told to come back for what rate limits allow.
-    booked: clock::Instant,
+    first_byte: Option<(f64, f64)>,
+    /// Periods in which all backend servers of the pool were full.
+    full_periods: episode::Episode,
+    /// Requests that found the pool full. Varies the retry delays that rejected
+    /// clients are given.
+    full_arrivals: u32,
+    /// Latest retry time given to a client for capacity under a rate limit.
+    reserved_until: clock::Instant,
 }
 
 impl Queue {
-    /// An empty queue that holds at most `capacity` waiters; whoever is refused
-    /// is told to stay away for `shortest_return` at the least.
-    pub fn new(capacity: usize, shortest_return: Duration) -> Queue {
+    /// Returns an empty queue for at most `capacity` waiters. `min_retry_after`
+    /// is the shortest retry delay that a rejected client is given.
+    pub fn new(capacity: usize, min_retry_after: Duration) -> Queue {
         Queue {
             capacity,
-            shortest_return,
+            min_retry_after,
             waiting: 0,
             shares: SecondaryMap::new(),
-            held: SecondaryMap::new(),
+            team_requests: SecondaryMap::new(),
             pools: BTreeMap::new(),
         }
     }
 
-    /// Sets what a team may do.
+    /// Sets the weight and the request limit of a team.
     pub fn set_share(&mut self, team: entity::Team, share: Share) {
         self.shares[team] = share;
     }
 
-    /// Number of waiters.
+    /// Returns the number of waiters.
     pub fn waiting(&self) -> usize {
         self.waiting
     }
 
-    /// Number of waiters for a pool.
+    /// Returns the number of waiters for a pool.
     pub fn waiting_for(&self, pool: entity::Pool) -> usize {
-        self.pools.get(&pool).map_or(0, Line::len)
+        self.pools.get(&pool).map_or(0, Pool::len)
     }
 
-    /// Pools that somebody waits for, in the order of their ids.
+    /// Returns the pools with at least one waiter, in the order of their ids.
     pub fn waiting_pools(&self) -> Vec<entity::Pool> {
-        let waited = self.pools.iter().filter(|(_, line)| line.len() > 0);
+        let waited = self.pools.iter().filter(|(_, queue)| queue.len() > 0);
         waited.map(|(pool, _)| *pool).collect()
     }
 
-    /// Requests of a team in flight and waiting.
+    /// Returns the number of requests of a team in flight and waiting.
     pub fn team_requests(&self, team: entity::Team) -> u32 {
-        self.held[team]
+        self.team_requests[team]
     }
 
     /// Counts a request against its team's limit until [`Queue::release`].
@@ -159,27 +161,32 @@
     ///
     /// [`Refusal::TeamLimit`].
     pub fn acquire(&mut self, team: entity::Team) -> Result<(), Refusal> {
-        if self.held[team] >= self.shares[team].limit {
+        if self.team_requests[team] >= self.shares[team].limit {
             return Err(Refusal::TeamLimit);
         }
-        self.held[team] += 1;
+        self.team_requests[team] += 1;
         Ok(())
     }
 
-    /// A request that was held has its final answer.
+    /// Stops counting a request that has its final answer.
     pub fn release(&mut self, team: entity::Team) {
-        debug_assert!(self.held[team] > 0, "{team} released more than it held");
-        self.held[team] = self.held[team].saturating_sub(1);
+        debug_assert!(
+            self.team_requests[team] > 0,
+            "{team} released more requests than it acquired"
+        );
+        self.team_requests[team] = self.team_requests[team].saturating_sub(1);
     }
 
-    /// Lets a held request wait. Returns the waiter that had to give way, if
-    /// the queue was full: the last one of the team that holds most for its
-    /// weight, so that a greedy team displaces itself.
+    /// Queues a request that was counted by [`Queue::acquire`]. If the queue was
+    /// full, returns the waiter that was displaced: the last one of the team with
+    /// the most waiters relative to its weight, so that a team that floods the
+    /// queue displaces its own requests.
     ///
     /// # Errors
     ///
-    /// [`Refusal::Deadline`] where it would wait in vain, and
-    /// [`Refusal::QueueFull`] where it would itself have to give way.
+    /// [`Refusal::Deadline`] if the request would expire or miss its deadline
+    /// before its turn, and [`Refusal::QueueFull`] if it would itself be the one
+    /// to displace.
     pub fn push(&mut self, waiter: Waiter, now: clock::Instant) -> Result<Option<Waiter>, Refusal> {
         let wait = self.expected_wait(waiter.pool, waiter.precedence);
         let starts = now + wait;
@@ -194,113 +201,117 @@
         Ok(displaced)
     }
 
-    /// Puts a waiter that was sent and came back, not run, before the others of its team.
+    /// Queues a waiter whose attempt did not run ahead of the other waiters of its team.
     pub fn push_front(&mut self, waiter: Waiter) {
         self.insert(waiter, End::Front);
     }
 
     fn insert(&mut self, waiter: Waiter, end: End) {
-        let line = self.pools.entry(waiter.pool).or_default();
-        line.bands.entry(waiter.precedence).or_default().insert(waiter, end);
+        let queue = self.pools.entry(waiter.pool).or_default();
+        queue.bands.entry(waiter.precedence).or_default().insert(waiter, end);
         self.waiting += 1;
         debug_assert_eq!(self.verify(), Ok(()));
     }
 
-    /// Takes the waiter whose turn it is.
+    /// Removes and returns the next waiter of a pool.
     pub fn pop(&mut self, pool: entity::Pool) -> Option<Waiter> {
-        let line = self.pools.get_mut(&pool)?;
-        let waiter = line.pop(&self.shares)?;
+        let queue = self.pools.get_mut(&pool)?;
+        let waiter = queue.pop(&self.shares)?;
         self.waiting -= 1;
         Some(waiter)
     }
 
-    /// Takes out a waiter whose caller left.
+    /// Removes a waiter. Returns whether it was queued.
     pub fn remove(&mut self, waiter: &Waiter) -> bool {
-        let line = self.pools.get_mut(&waiter.pool);
-        let band = line.and_then(|line| line.bands.get_mut(&waiter.precedence));
+        let queue = self.pools.get_mut(&waiter.pool);
+        let band = queue.and_then(|queue| queue.bands.get_mut(&waiter.precedence));
         let removed = band.is_some_and(|band| band.remove(waiter.team, waiter.ticket).is_some());
         self.waiting -= usize::from(removed);
         removed
     }
 
-    /// Mean time of a whole answer of the pool.
+    /// Returns the mean time from dispatch to the whole answer in the pool.
     pub fn mean_service_time(&self, pool: entity::Pool) -> Duration {
-        self.pools.get(&pool).map_or(Duration::ZERO, Line::service)
+        self.pools.get(&pool).map_or(Duration::ZERO, Pool::mean_service_time)
     }
 
-    /// Whether a waiter that were sent at that time would miss its deadline.
+    /// Returns whether a waiter dispatched at `sent` would miss its deadline.
     pub fn misses_deadline(&self, waiter: &Waiter, sent: clock::Instant) -> bool {
-        let service = self.pools.get(&waiter.pool).map_or(Duration::ZERO, Line::service);
+        let service = self.pools.get(&waiter.pool).map_or(Duration::ZERO, Pool::mean_service_time);
         sent + service >= waiter.deadline
     }
 
-    /// Drops the estimate of how long answers of the pool take, until the next one.
+    /// Discards the pool's mean service time until the next answer is complete.
     pub fn reset_service_time(&mut self, pool: entity::Pool) {
-        if let Some(line) = self.pools.get_mut(&pool) {
-            line.service = None;
+        if let Some(queue) = self.pools.get_mut(&pool) {
+            queue.service_time = None;
         }
     }
 
-    /// An answer of the pool began that long after it was sent for.
+    /// Records the time from dispatch to the first byte of an answer of the pool.
     pub fn record_first_byte(&mut self, pool: entity::Pool, time: Duration) {
-        let line = self.pools.entry(pool).or_default();
+        let queue = self.pools.entry(pool).or_default();
         let sample = time.as_secs_f64();
-        let (mean, deviation) = line.begin.unwrap_or((sample, 0.0));
+        let (mean, deviation) = queue.first_byte.unwrap_or((sample, 0.0));
         let error = sample - mean;
-        let deviation = deviation + BEGIN_GAIN * (error.abs() - deviation);
-        line.begin = Some((mean + BEGIN_GAIN * error, deviation));
+        let deviation = deviation + FIRST_BYTE_GAIN * (error.abs() - deviation);
+        queue.first_byte = Some((mean + FIRST_BYTE_GAIN * error, deviation));
     }
 
-    /// Until when a request may wait whose answer is to begin by then. It may
-    /// always be sent at once.
+    /// Returns how long a request may wait if its answer is to begin by
+    /// `begin_by`. The returned time may already have passed; the request may be
+    /// dispatched immediately all the same.
     pub fn latest_dispatch(&self, pool: entity::Pool, begin_by: clock::Instant) -> clock::Instant {
-        let begin = self.pools.get(&pool).and_then(|line| line.begin);
-        let (mean, deviation) = begin.unwrap_or_default();
-        begin_by.before(Duration::from_secs_f64(mean + BEGIN_DEVIATIONS * deviation))
+        let first_byte = self.pools.get(&pool).and_then(|queue| queue.first_byte);
+        let (mean, deviation) = first_byte.unwrap_or_default();
+        begin_by.before(Duration::from_secs_f64(mean + FIRST_BYTE_DEVIATIONS * deviation))
     }
 
-    /// Whether all backend servers of the pool are without room.
+    /// Records whether all backend servers of the pool are full, as seen by an
+    /// arriving request.
     pub fn set_full(&mut self, pool: entity::Pool, full: bool, now: clock::Instant) {
-        let line = self.pools.entry(pool).or_default();
+        let queue = self.pools.entry(pool).or_default();
         if full {
-            line.full.begin(now);
-            line.refused = line.refused.wrapping_add(1);
+            queue.full_periods.begin(now);
+            queue.full_arrivals = queue.full_arrivals.wrapping_add(1);
         } else {
-            line.full.end(now);
+            queue.full_periods.end(now);
         }
     }
 
-    /// A request of the pool was answered whole in that time.
+    /// Records the time from dispatch to the whole answer of a request of the pool.
     pub fn record_answer(&mut self, pool: entity::Pool, time: Duration) {
-        let line = self.pools.entry(pool).or_default();
+        let queue = self.pools.entry(pool).or_default();
         let sample = time.as_secs_f64();
-        let mean = line.service.unwrap_or(sample);
-        line.service = Some(mean + SERVICE_GAIN * (sample - mean));
+        let mean = queue.service_time.unwrap_or(sample);
+        queue.service_time = Some(mean + SERVICE_GAIN * (sample - mean));
     }
 
-    /// Takes out all waiters that can no longer make their deadline.
+    /// Removes and returns all waiters that have expired or can no longer meet
+    /// their deadline.
     pub fn remove_expired(&mut self, now: clock::Instant) -> Vec<Waiter> {
         let mut late = Vec::new();
-        for line in self.pools.values_mut() {
-            line.sweep(now, &mut late);
+        for queue in self.pools.values_mut() {
+            queue.remove_expired(now, &mut late);
         }
         self.waiting -= late.len();
         late
     }
 
-    /// Takes out those waiters for a pool that could not make their deadline if the
-    /// first one were sent at that time, and each other one so much later.
+    /// Removes and returns those waiters for a pool that would expire or miss their
+    /// deadline if the first one were dispatched at `first`, and each further one
+    /// `spacing` after the one before.
     pub fn remove_late(
         &mut self,
         pool: entity::Pool,
         first: clock::Instant,
         spacing: Duration,
     ) -> Vec<Waiter> {
-        let Some(line) = self.pools.get(&pool) else { return Vec::new() };
+        let Some(queue) = self.pools.get(&pool) else { return Vec::new() };
         let (mut late, mut at) = (Vec::new(), first);
-        for band in line.bands.values() {
+        for band in queue.bands.values() {
             for waiter in band.by_age() {
-                if waiter.deadline <= at + line.service() || waiter.expires <= at {
+                if waiter.deadline <= at + queue.mean_service_time() || waiter.expires <= at {
                     late.push(waiter);
                 } else {
                     at = at + spacing;
@@ -313,57 +324,64 @@
         late
     }
 
-    /// When a refused caller should come back where the pool has room for one each
-    /// `spacing`, whichever gateway it asks then: each is told a time of its own. Who
-    /// would have to stay away for too long is told a time among those of others.
+    /// Returns the retry delay of a rejected client, where the pool can serve one
+    /// request each `spacing`, at whichever gateway. Each client gets a different
+    /// time slot. Once the delay would exceed `MAX_RETRY_AFTER`, slots are
+    /// assigned again from now on, so that clients share them.
     pub fn reserve_return(
         &mut self,
         pool: entity::Pool,
         spacing: Duration,
         now: clock::Instant,
     ) -> Duration {
-        let shortest = self.shortest_return;
-        let line = self.pools.entry(pool).or_default();
-        let free = line.booked.max(now) + spacing;
-        line.booked = if free.since(now) > LONGEST_RETURN { now + spacing } else { free };
-        line.booked.since(now).clamp(shortest, LONGEST_RETURN)
+        let min_retry_after = self.min_retry_after;
+        let queue = self.pools.entry(pool).or_default();
+        let slot = queue.reserved_until.max(now) + spacing;
+        queue.reserved_until = if slot.since(now) > MAX_RETRY_AFTER { now + spacing } else { slot };
+        queue.reserved_until.since(now).clamp(min_retry_after, MAX_RETRY_AFTER)
     }
 
-    /// A request of the pool got a backend server; the rate is learnt from this.
+    /// Records that a request of the pool was dispatched, for the departure rate.
     pub fn record_departure(&mut self, pool: entity::Pool, now: clock::Instant) {
-        let line = self.pools.entry(pool).or_default();
-        if let Some(before) = line.departed {
+        let queue = self.pools.entry(pool).or_default();
+        if let Some(before) = queue.departed {
             let sample = now.since(before).as_secs_f64();
-            let mean = line.spacing.unwrap_or(sample);
-            line.spacing = Some(mean + RATE_GAIN * (sample - mean));
+            let mean = queue.departure_interval.unwrap_or(sample);
+            queue.departure_interval = Some(mean + DEPARTURE_GAIN * (sample - mean));
         }
-        line.departed = Some(now);
+        queue.departed = Some(now);
     }
 
-    /// How long a request of that precedence would wait at the present rate.
+    /// Returns how long a request of that precedence would wait at the current
+    /// departure rate.
     pub fn expected_wait(&self, pool: entity::Pool, precedence: u32) -> Duration {
-        let Some(line) = self.pools.get(&pool) else { return Duration::ZERO };
-        let ahead: usize = line.bands.range(..=precedence).map(|(_, band)| band.len).sum();
-        Duration::from_secs_f64(ahead as f64 * line.spacing.unwrap_or(0.0))
+        let Some(queue) = self.pools.get(&pool) else { return Duration::ZERO };
+        let ahead: usize = queue.bands.range(..=precedence).map(|(_, band)| band.len).sum();
+        Duration::from_secs_f64(ahead as f64 * queue.departure_interval.unwrap_or(0.0))
     }
 
-    /// When a refused caller should come back: after the present queue is gone,
-    /// after as long as the pool mostly stays full, and not before `least` is
-    /// over. Callers are told times that differ, so that they do not come back together.
+    /// Returns the retry delay of a rejected client: long enough for the current
+    /// queue to drain, for a full pool to get room as it did before, and for
+    /// `least` to pass. The delays vary, so that rejected clients do not return
+    /// all at once.
     pub fn retry_after(&self, pool: entity::Pool, least: Duration) -> Duration {
-        let line = self.pools.get(&pool);
-        let full = line.and_then(|line| line.full.expected_duration()).unwrap_or(Duration::ZERO);
-        let refused = line.map_or(0, |line| line.refused);
-        let wait = self.expected_wait(pool, u32::MAX).max(full).max(least);
-        let wait = wait.max(self.shortest_return);
-        wait.mul_f64(spread(refused)).min(LONGEST_RETURN)
-    }
-
-    /// Makes room for a newcomer, if a team holds more for its weight than
-    /// the newcomer's team would.
+        let queue = self.pools.get(&pool);
+        let full = queue
+            .and_then(|queue| queue.full_periods.expected_duration())
+            .unwrap_or(Duration::ZERO);
+        let full_arrivals = queue.map_or(0, |queue| queue.full_arrivals);
+        let delay = self.expected_wait(pool, u32::MAX).max(full).max(least);
+        let delay = delay.max(self.min_retry_after);
+        delay.mul_f64(delay_factor(full_arrivals)).min(MAX_RETRY_AFTER)
+    }
+
+    /// Displaces a waiter to make room for a new request. Selects the team with the
+    /// most waiters relative to its weight. Returns `None` if the new request is
+    /// not more urgent than that team's least urgent waiter and its own team would
+    /// have at least as many relative to its weight.
     fn displace(&mut self, newcomer: &Waiter) -> Option<Waiter> {
         let mut counts: BTreeMap<entity::Team, (u32, u32)> = BTreeMap::new();
-        for band in self.pools.values().flat_map(|line| &line.bands) {
+        for band in self.pools.values().flat_map(|queue| &queue.bands) {
             for (team, waiters) in &band.1.teams {
                 let count = counts.entry(*team).or_default();
                 count.0 += waiters.len() as u32;
@@ -380,19 +398,19 @@
         if !more_urgent && !more_loaded {
             return None;
         }
-        let bands = self.pools.values_mut().filter_map(|line| line.bands.get_mut(&precedence));
+        let bands = self.pools.values_mut().filter_map(|queue| queue.bands.get_mut(&precedence));
         let displaced = bands.filter_map(|band| band.pop_last(team)).next()?;
         self.waiting -= 1;
         Some(displaced)
     }
 
-    /// Checks the queue's invariants.
+    /// Checks the invariants of the queue.
     ///
     /// # Errors
     ///
     /// The first [`Fault`] found.
     pub fn verify(&self) -> Result<(), Fault> {
-        let bands = || self.pools.values().flat_map(|line| line.bands.values());
+        let bands = || self.pools.values().flat_map(|queue| queue.bands.values());
         if bands().any(|band| band.len != band.teams.values().map(VecDeque::len).sum()) {
             return Err(Fault::Band);
         }
@@ -406,36 +424,36 @@
     }
 }
 
-/// Part of a wait that a caller is told, from one to two, spread evenly over
-/// callers in a row by the golden ratio.
-fn spread(number: u32) -> f64 {
+/// Factor from 1 to 2 on the retry delay. Multiples of the golden ratio distribute
+/// the factors of consecutive clients evenly.
+fn delay_factor(number: u32) -> f64 {
     const GOLDEN: f64 = 0.618_033_988_749_895;
     1.0 + (f64::from(number) * GOLDEN).fract()
 }
 
-/// A broken invariant of the queue.
+/// Violated invariant of the queue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum Fault {
-    /// A band's length is that of its teams' waiters.
-    #[error("a band's length is off")]
+    /// The length of a band differs from the number of its waiters.
+    #[error("the length of a band differs from its number of waiters")]
     Band,
-    /// The total is the sum over the bands.
-    #[error("the total is off")]
+    /// The number of waiters differs from the sum over the bands.
+    #[error("the number of waiters differs from the sum over the bands")]
     Total,
-    /// A team without waiters is not listed.
-    #[error("a team without waiters is listed")]
+    /// A band lists a team that has no waiters.
+    #[error("a band lists a team without waiters")]
     Empty,
 }
 
-impl Line {
-    fn service(&self) -> Duration {
-        Duration::from_secs_f64(self.service.unwrap_or(0.0))
+impl Pool {
+    fn mean_service_time(&self) -> Duration {
+        Duration::from_secs_f64(self.service_time.unwrap_or(0.0))
     }
 
-    fn sweep(&mut self, at: clock::Instant, late: &mut Vec<Waiter>) {
-        let answered = at + self.service();
+    fn remove_expired(&mut self, at: clock::Instant, late: &mut Vec<Waiter>) {
+        let answered = at + self.mean_service_time();
         for band in self.bands.values_mut() {
-            band.sweep(at, answered, late);
+            band.remove_expired(at, answered, late);
         }
     }
 
@@ -445,17 +463,18 @@
 
     fn pop(&mut self, shares: &SecondaryMap<entity::Team, Share>) -> Option<Waiter> {
         let urgent = *self.bands.iter().find(|(_, band)| band.len > 0)?.0;
-        let patient = self
+        let oldest_other = self
             .bands
             .iter()
             .filter(|(precedence, band)| **precedence > urgent && band.len > 0)
             .min_by_key(|(_, band)| band.oldest())
             .map(|(precedence, _)| *precedence);
-        let chosen = match patient {
-            Some(other) if self.streak + 1 >= STARVATION_INTERVAL => other,
+        let chosen = match oldest_other {
+            Some(other) if self.urgent_streak + 1 >= STARVATION_INTERVAL => other,
             _ => urgent,
         };
-        self.streak = if chosen == urgent && patient.is_some() { self.streak + 1 } else { 0 };
+        self.urgent_streak =
+            if chosen == urgent && oldest_other.is_some() { self.urgent_streak + 1 } else { 0 };
         self.bands.get_mut(&chosen)?.pop(shares)
     }
 }
--- a/decision/src/admission/band.rs
+++ b/decision/src/admission/band.rs
@@ -1,4 +1,4 @@
-//! The waiters of one precedence, and which team's turn it is.
+//! The waiters of one precedence, scheduled by start-time fair queueing expired teams.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -16,7 +16,7 @@
     pub(super) len: usize,
 }
 
-/// End of a team's waiters at which one joins.
+/// End of a team's queue at which a waiter is inserted.
 #[derive(Clone, Copy)]
 pub(super) enum End {
     Front,
@@ -25,19 +25,19 @@
 
 impl Band {
     pub(super) fn insert(&mut self, waiter: Waiter, end: End) {
-        let line = self.teams.entry(waiter.team).or_default();
+        let waiters = self.teams.entry(waiter.team).or_default();
         match end {
-            End::Front => line.push_front(waiter),
-            End::Back => line.push_back(waiter),
+            End::Front => waiters.push_front(waiter),
+            End::Back => waiters.push_back(waiter),
         }
         self.len += 1;
     }
 
     pub(super) fn oldest(&self) -> Option<clock::Instant> {
-        self.teams.values().filter_map(|line| line.front()).map(|waiter| waiter.since).min()
+        self.teams.values().filter_map(|waiters| waiters.front()).map(|waiter| waiter.since).min()
     }
 
-    /// Those who wait, longest first.
+    /// Returns the waiters, oldest first.
     pub(super) fn by_age(&self) -> Vec<Waiter> {
         let mut waiters: Vec<Waiter> = self.teams.values().flatten().copied().collect();
         waiters.sort_by_key(|waiter| waiter.since);
@@ -48,58 +48,58 @@
         let start = |team: &entity::Team| {
             self.finish.get(team).copied().unwrap_or(0.0).max(self.virtual_time)
         };
-        let (team, begin) = self
+        let (team, start_time) = self
             .teams
             .keys()
             .map(|team| (*team, start(team)))
             .min_by(|a, b| a.1.total_cmp(&b.1))?;
-        self.virtual_time = begin;
-        self.finish.insert(team, begin + 1.0 / f64::from(shares[team].weight));
-        // A team whose finish lies behind the virtual time starts afresh anyway.
+        self.virtual_time = start_time;
+        self.finish.insert(team, start_time + 1.0 / f64::from(shares[team].weight));
+        // A finish time at or before the virtual time no longer affects the order.
         let now = self.virtual_time;
         self.finish.retain(|_, finish| *finish > now);
         let waiter = self.teams.get_mut(&team)?.pop_front();
-        self.shrink(team);
+        self.record_removal(team);
         waiter
     }
 
     pub(super) fn pop_last(&mut self, team: entity::Team) -> Option<Waiter> {
         let waiter = self.teams.get_mut(&team)?.pop_back();
-        self.shrink(team);
+        self.record_removal(team);
         waiter
     }
 
     pub(super) fn remove(&mut self, team: entity::Team, ticket: entity::Ticket) -> Option<Waiter> {
-        let line = self.teams.get_mut(&team)?;
-        let index = line.iter().position(|waiter| waiter.ticket == ticket)?;
-        let waiter = line.remove(index);
-        self.shrink(team);
+        let waiters = self.teams.get_mut(&team)?;
+        let index = waiters.iter().position(|waiter| waiter.ticket == ticket)?;
+        let waiter = waiters.remove(index);
+        self.record_removal(team);
         waiter
     }
 
-    /// Accounts for one waiter less of the team.
-    fn shrink(&mut self, team: entity::Team) {
+    /// Updates the counts after the removal of one waiter of the team.
+    fn record_removal(&mut self, team: entity::Team) {
         self.len -= 1;
         if self.teams.get(&team).is_some_and(VecDeque::is_empty) {
             self.teams.remove(&team);
         }
     }
 
-    /// Takes out those that may not wait beyond `now`, or whose answer would be
-    /// late if they were sent and answered by `sent`.
-    pub(super) fn sweep(
+    /// Moves to `late` the waiters that expire by `now`, and those whose deadline
+    /// is not after `answered`, the time at which an answer would be complete.
+    pub(super) fn remove_expired(
         &mut self,
         now: clock::Instant,
-        sent: clock::Instant,
+        answered: clock::Instant,
         late: &mut Vec<Waiter>,
     ) {
         let before = late.len();
-        let over = |waiter: &Waiter| waiter.deadline <= sent || waiter.expires <= now;
-        for line in self.teams.values_mut() {
-            late.extend(line.iter().filter(|waiter| over(waiter)));
-            line.retain(|waiter| !over(waiter));
+        let expired = |waiter: &Waiter| waiter.deadline <= answered || waiter.expires <= now;
+        for waiters in self.teams.values_mut() {
+            late.extend(waiters.iter().filter(|waiter| expired(waiter)));
+            waiters.retain(|waiter| !expired(waiter));
         }
-        self.teams.retain(|_, line| !line.is_empty());
+        self.teams.retain(|_, waiters| !waiters.is_empty());
         self.len -= late.len() - before;
     }
 }
