--- a/decision/src/retry.rs
+++ b/decision/src/retry.rs
@@ -1,101 +1,102 @@
-//! Whether an attempt that failed may be followed by another.
+//! Decides whether a failed attempt is retried.
 //!
-//! Two things decide. Safety: an attempt that surely never started may always
-//! be followed, one that may have started only where the class may be
-//! repeated and the caller has seen nothing of the answer. Thrift: retries
-//! come out of a budget that first attempts pay into, so that an outage does
-//! not multiply the load that caused it.
+//! A retry has two conditions. It must be safe: an attempt that certainly never
+//! started can always be retried, one that may have started only if the class
+//! is repeatable and the client has received nothing of the answer. And the
+//! retry budget must allow it: first attempts add to the budget and retries
+//! draw on it, so that an outage does not multiply the load that caused it.
 
-/// Most retries that may be saved up, where nothing else is set.
+/// Default capacity of the budget, in retries.
 pub const RESERVE: f64 = 10.0;
 
-/// Part of the reserve that is there at once. Processes that are restarted one
-/// after the other must not bring a full reserve each.
-const FIRST_PART: f64 = 0.3;
+/// Fraction of the reserve that is available initially. A full reserve for each
+/// process would multiply the retries during a rolling restart.
+const INITIAL_FRACTION: f64 = 0.3;
 
-/// Attempts of one request at the most, where nothing else is set.
+/// Default maximum number of attempts of one request.
 pub const MAX_ATTEMPTS: u32 = 4;
 
-/// The budget of a process.
+/// Retry budget of a process.
 #[derive(Debug, Clone)]
 pub struct Budget {
     ratio: f64,
     reserve: f64,
-    saved: f64,
+    available: f64,
 }
 
 impl Budget {
-    /// A budget of `reserve` retries, a part of which is there at once, and
-    /// into which each first attempt pays `ratio` of a retry.
+    /// Returns a budget of at most `reserve` retries, part of which is available
+    /// initially. Each first attempt adds `ratio` of a retry.
     pub fn new(ratio: f64, reserve: f64) -> Budget {
-        Budget { ratio, reserve, saved: reserve * FIRST_PART }
+        Budget { ratio, reserve, available: reserve * INITIAL_FRACTION }
     }
 
-    /// Sets how many retries may be saved up. A first reserve is there in part.
+    /// Sets the maximum number of retries in the budget. If it was zero before, part
+    /// of the new reserve is available immediately.
     pub fn set_reserve(&mut self, reserve: f64) {
         if self.reserve == 0.0 {
-            self.saved = reserve * FIRST_PART;
+            self.available = reserve * INITIAL_FRACTION;
         }
         self.reserve = reserve;
-        self.saved = self.saved.min(reserve);
+        self.available = self.available.min(reserve);
     }
 
-    /// A first attempt was sent.
+    /// Adds the share of a first attempt.
     pub fn deposit(&mut self) {
-        self.saved = (self.saved + self.ratio).min(self.reserve);
+        self.available = (self.available + self.ratio).min(self.reserve);
     }
 
-    /// A first attempt that was counted was not sent after all.
+    /// Takes back the share of a first attempt that was not sent after all.
     pub fn cancel_deposit(&mut self) {
-        self.saved = (self.saved - self.ratio).max(0.0);
+        self.available = (self.available - self.ratio).max(0.0);
     }
 
-    /// Takes one retry out, if there is one.
+    /// Withdraws one retry. Returns whether there was one.
     pub fn withdraw(&mut self) -> bool {
-        if self.saved < 1.0 {
+        if self.available < 1.0 {
             return false;
         }
-        self.saved -= 1.0;
+        self.available -= 1.0;
         true
     }
 }
 
-/// What is known of an attempt that failed.
+/// Whether a failed attempt was executed, as far as is known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Execution {
-    /// It never started and never will.
+    /// The attempt never started and never will.
     NeverRan,
-    /// It started, or may have.
+    /// The attempt started or may have started.
     MayHaveRun,
-    /// Its server ended while it ran, maybe by its doing. Another attempt could
-    /// end the next one, which takes the requests of all others there along; the
-    /// caller can ask again, and is then known.
+    /// The backend server ended during the attempt, possibly because of it. A retry
+    /// could end the next server and with it all other requests there. The client
+    /// can send the request again, which is then identified as the same request.
     ServerEnded,
 }
 
-/// What the failed attempt's request is like.
+/// A failed attempt and the state of its request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Failure {
-    /// What is known of the attempt.
+    /// Whether the attempt was executed.
     pub execution: Execution,
-    /// Whether the class may be repeated.
+    /// Whether requests of the class may be executed more than once.
     pub repeatable: bool,
-    /// Whether the caller has seen a part of the answer.
+    /// Whether the client has received a part of the answer.
     pub answer_begun: bool,
-    /// Whether another backend server can go on with a begun answer.
+    /// Whether another backend server can resume an answer that has begun.
     pub resumable: bool,
-    /// Attempts that ran, or may have.
+    /// Number of attempts that ran or may have run.
     pub runs: u32,
-    /// Attempts that may run at the most.
+    /// Maximum number of attempts that may run.
     pub max_runs: u32,
-    /// Attempts that failed, whether they ran or not.
+    /// Number of failed attempts, whether they ran or not.
     pub failures: u32,
 }
 
-/// Whether another attempt would be safe, the budget aside.
+/// Returns whether a retry would be safe, regardless of the budget.
 pub fn is_safe(failure: &Failure) -> bool {
-    let resumed = failure.resumable || !failure.answer_begun;
-    if !resumed || failure.runs >= failure.max_runs || failure.failures >= MAX_ATTEMPTS {
+    let can_continue = failure.resumable || !failure.answer_begun;
+    if !can_continue || failure.runs >= failure.max_runs || failure.failures >= MAX_ATTEMPTS {
         return false;
     }
     match failure.execution {
