--- a/decision/src/episode.rs
+++ b/decision/src/episode.rs
@@ -1,13 +1,13 @@
-//! How long a state mostly lasts, by how long it lasted before.
+//! Estimates how long a recurring state lasts from its previous durations.
 
 use std::time::Duration;
 
 use crate::clock;
 
-/// Weight of the newest episode in the mean.
+/// Weight of the newest duration in the mean.
 const GAIN: f64 = 0.3;
 
-/// Episodes of a state that comes and goes.
+/// Mean duration of a recurring state.
 #[derive(Debug, Clone, Default)]
 pub struct Episode {
     since: Option<clock::Instant>,
@@ -15,21 +15,22 @@
 }
 
 impl Episode {
-    /// The state holds.
+    /// Records that the state holds. Has no effect if it already did.
     pub fn begin(&mut self, now: clock::Instant) {
         self.since.get_or_insert(now);
     }
 
-    /// The state does not hold.
+    /// Records that the state does not hold. Has no effect if it already did not.
     pub fn end(&mut self, now: clock::Instant) {
         let Some(since) = self.since.take() else { return };
-        let lasted = now.since(since);
-        let mean = self.mean.unwrap_or(lasted);
-        self.mean = Some(mean.mul_f64(1.0 - GAIN) + lasted.mul_f64(GAIN));
+        let duration = now.since(since);
+        let mean = self.mean.unwrap_or(duration);
+        self.mean = Some(mean.mul_f64(1.0 - GAIN) + duration.mul_f64(GAIN));
     }
 
-    /// How long it is expected to hold on: as long as it mostly does, however
-    /// long it has held; `None` before the first one has ended.
+    /// Returns how much longer the state is expected to last: its mean duration,
+    /// regardless of how long it has duration so far. `None` before the state has
+    /// ended for the first time.
     pub fn expected_duration(&self) -> Option<Duration> {
         self.mean
     }
