--- a/decision/src/lifecycle.rs
+++ b/decision/src/lifecycle.rs
@@ -1,35 +1,35 @@
-//! A process's life: starting, serving, draining, stopped.
-#![allow(missing_docs, reason = "the state machine's macro makes types without documentation")]
+//! Lifecycle of a process: starting, serving, draining, stopped.
+#![allow(missing_docs, reason = "the state machine macro generates types without documentation")]
 
 use statig::prelude::*;
 
-/// What happens to a process.
+/// Event in the lifecycle of a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Event {
     /// A bundle is in force.
     Ready,
     /// The process was asked to stop.
     Stop,
-    /// The number of requests in flight has become this.
+    /// The number of requests in flight changed to this value.
     InFlight(usize),
-    /// The longest time for a planned stop is over.
+    /// The time limit for a planned stop has passed.
     Expired,
 }
 
-/// What a process may do at present.
+/// Phase of a process, which determines whether it accepts work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
     /// No bundle is in force yet.
     Starting,
-    /// Takes new work.
+    /// Accepts new work.
     Serving,
-    /// Takes no new work and finishes what is in flight.
+    /// Accepts no new work and completes the requests in flight.
     Draining,
     /// May exit.
     Stopped,
 }
 
-/// State of the machine. Invariant: no way leads back from draining.
+/// Data of the state machine. Invariant: no transition leads from draining back to serving.
 #[derive(Debug)]
 pub struct Lifecycle {
     in_flight: usize,
@@ -43,17 +43,17 @@
 }
 
 impl Lifecycle {
-    /// A machine in its first state.
+    /// Returns a machine in its initial state.
     pub fn machine() -> StateMachine<Lifecycle> {
         Lifecycle::default().state_machine()
     }
 
-    /// What the process may do.
+    /// Returns the phase of the process.
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
-    fn leave(&self) -> Outcome<State> {
+    fn stop(&self) -> Outcome<State> {
         if self.in_flight == 0 {
             Transition(State::stopped())
         } else {
@@ -65,15 +65,15 @@
 #[state_machine(
     initial = "State::starting()",
     state(derive(Debug)),
-    after_transition = "Self::note"
+    after_transition = "Self::record_phase"
 )]
 impl Lifecycle {
     #[state]
     fn starting(&mut self, event: &Event) -> Outcome<State> {
         match event {
             Event::Ready => Transition(State::serving()),
-            Event::Stop => self.leave(),
-            Event::InFlight(count) => self.count(*count),
+            Event::Stop => self.stop(),
+            Event::InFlight(count) => self.set_in_flight(*count),
             Event::Expired => Handled,
         }
     }
@@ -81,8 +81,8 @@
     #[state]
     fn serving(&mut self, event: &Event) -> Outcome<State> {
         match event {
-            Event::Stop => self.leave(),
-            Event::InFlight(count) => self.count(*count),
+            Event::Stop => self.stop(),
+            Event::InFlight(count) => self.set_in_flight(*count),
             Event::Ready | Event::Expired => Handled,
         }
     }
@@ -91,7 +91,7 @@
     fn draining(&mut self, event: &Event) -> Outcome<State> {
         match event {
             Event::InFlight(0) | Event::Expired => Transition(State::stopped()),
-            Event::InFlight(count) => self.count(*count),
+            Event::InFlight(count) => self.set_in_flight(*count),
             Event::Ready | Event::Stop => Handled,
         }
     }
@@ -101,12 +101,12 @@
         Handled
     }
 
-    fn count(&mut self, count: usize) -> Outcome<State> {
+    fn set_in_flight(&mut self, count: usize) -> Outcome<State> {
         self.in_flight = count;
         Handled
     }
 
-    fn note(&mut self, _from: &State, to: &State) {
+    fn record_phase(&mut self, _from: &State, to: &State) {
         self.phase = match to {
             State::Starting {} => Phase::Starting,
             State::Serving {} => Phase::Serving,
