--- a/decision/src/attempt.rs
+++ b/decision/src/attempt.rs
@@ -1,62 +1,65 @@
-//! The agent's table of attempts: each starts at most once, and a revoked one never.
+//! The agent's table of attempts. An attempt starts at most once, and never after
+//! it was revoked.
 //!
-//! The table makes "not run" true. An entry that lost its connection asks the
-//! agent what became of the attempt; the agent either knows that it started,
-//! or writes a tombstone that refuses a dispatch that arrives later. A record
-//! is kept until the attempt's own expiry has passed on every clock, after
-//! which a late dispatch is refused for its expiry instead; so nothing inside
-//! the window is ever evicted, and a full table refuses.
+//! The table guarantees that an attempt reported as not run never runs. An entry
+//! that lost its connection asks the agent for the phase of the attempt. The
+//! agent either has a record that the attempt started, or inserts a tombstone
+//! that rejects a dispatch that arrives later. A record is kept until the
+//! attempt's expiry has passed on every clock; from then on, a late dispatch is
+//! rejected because it has expired. No record is therefore evicted before its
+//! expiry, and a full table rejects new attempts.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 use crate::clock;
 
-/// Number of a run of an agent process, higher for each later run.
+/// Number of one run of an agent process. Each later run has a higher number.
 pub type Incarnation = u64;
 
-/// Names one attempt.
+/// Identifier of one attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Id {
-    /// The request.
+    /// Id of the request.
     pub request: uuid::Uuid,
-    /// Which attempt of it, from 1.
+    /// Number of the attempt within the request, from 1.
     pub number: u32,
-    /// The run of the agent that it is meant for.
+    /// Run of the agent that the attempt is addressed to.
     pub incarnation: Incarnation,
 }
 
-/// How far an attempt has come.
+/// Phase of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
-    /// Never started, and a tombstone keeps it so.
+    /// The attempt never started, and a tombstone prevents it from starting.
     Never,
-    /// Handed to the backend server.
+    /// The attempt was handed to the backend server.
     Running,
-    /// Ended, well or badly, after it was handed over.
+    /// The attempt ended, successfully or not, after it was handed over.
     Ended,
-    /// Another run of the agent was meant, or there is no room for a tombstone.
+    /// The phase is not known: the attempt is addressed to another run of the agent,
+    /// its record may have been removed, or the table has no room for a tombstone.
     Unknown,
 }
 
-/// Why an attempt may not start.
+/// Reason why an attempt may not start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum Refusal {
-    /// It was meant for another run of the agent.
-    #[error("another incarnation")]
+    /// The attempt is addressed to another run of the agent.
+    #[error("attempt is addressed to another incarnation of the agent")]
     Incarnation,
-    /// It was revoked, or it is a copy of one that started.
-    #[error("revoked or repeated")]
+    /// The attempt was revoked, or it has already started.
+    #[error("attempt was revoked or has already started")]
     Revoked,
-    /// Its expiry has passed.
-    #[error("expired")]
+    /// The expiry of the attempt has passed.
+    #[error("attempt has expired")]
     Expired,
     /// The table is full.
-    #[error("table of attempts full")]
+    #[error("table of attempts is full")]
     Full,
 }
 
-/// The table. Invariant: `expiries` holds each record's expiry exactly once.
+/// Table of attempts. Invariant: `expiries` contains the expiry of each record exactly once.
 #[derive(Debug)]
 pub struct Table {
     incarnation: Incarnation,
@@ -73,29 +76,29 @@
 }
 
 impl Table {
-    /// An empty table of a new run. `skew` bounds the difference of two
-    /// hosts' clocks.
+    /// Returns an empty table for a new run. `skew` is the maximum difference between
+    /// the clocks of two hosts.
     pub fn new(incarnation: Incarnation, skew: Duration, capacity: usize) -> Table {
         Table { incarnation, skew, capacity, records: BTreeMap::new(), expiries: BTreeSet::new() }
     }
 
-    /// Records that the attempt is about to be handed over.
+    /// Records that the attempt is about to be handed to the backend server.
     ///
     /// # Errors
     ///
-    /// A [`Refusal`]; the attempt has then never started, and never will.
+    /// A [`Refusal`]: this dispatch has not started the attempt and never will.
     pub fn start(&mut self, id: Id, expiry: clock::Wall, now: clock::Wall) -> Result<(), Refusal> {
         if id.incarnation != self.incarnation {
             return Err(Refusal::Incarnation);
         }
-        // A dispatch that is this late may have lost its tombstone already.
+        // The tombstone of an expired attempt may already have been removed.
         if expiry <= now {
             return Err(Refusal::Expired);
         }
         if self.records.contains_key(&id) {
             return Err(Refusal::Revoked);
         }
-        self.forget(now);
+        self.remove_expired(now);
         if self.records.len() >= self.capacity {
             return Err(Refusal::Full);
         }
@@ -103,18 +106,19 @@
         Ok(())
     }
 
-    /// Records that an attempt which was started has been taken back before
-    /// anything of it was handed over; it never ran.
+    /// Records that a started attempt was withdrawn before any part of it was handed
+    /// to the backend server, so that it never ran.
     pub fn withdraw(&mut self, id: Id) {
-        self.leave_running(id, Phase::Never);
+        self.finish(id, Phase::Never);
     }
 
     /// Records that a started attempt has ended.
     pub fn end(&mut self, id: Id) {
-        self.leave_running(id, Phase::Ended);
+        self.finish(id, Phase::Ended);
     }
 
-    /// Tells what became of an attempt, and forbids one that has not started.
+    /// Returns the phase of an attempt. If it has not started, inserts a tombstone that
+    /// prevents it from starting.
     pub fn revoke(&mut self, id: Id, expiry: clock::Wall, now: clock::Wall) -> Phase {
         if id.incarnation != self.incarnation {
             return Phase::Unknown;
@@ -122,9 +126,9 @@
         if let Some(record) = self.records.get(&id) {
             return record.phase;
         }
-        self.forget(now);
+        self.remove_expired(now);
         if expiry + self.skew <= now {
-            // Its record may have been forgotten, so nothing can be said.
+            // The record of the attempt may have been removed, so its phase is not known.
             return Phase::Unknown;
         }
         if self.records.len() >= self.capacity {
@@ -134,18 +138,19 @@
         Phase::Never
     }
 
-    /// Number of records.
+    /// Returns the number of records.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether there is no record.
+    /// Returns whether the table has no records.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// Only a running attempt may change: a tombstone stays one.
-    fn leave_running(&mut self, id: Id, phase: Phase) {
+    /// Sets the phase of a running attempt. Other phases are final, so that a
+    /// tombstone stays one.
+    fn finish(&mut self, id: Id, phase: Phase) {
         let running = self.records.get_mut(&id).filter(|record| record.phase == Phase::Running);
         if let Some(record) = running {
             record.phase = phase;
@@ -158,8 +163,8 @@
         debug_assert_eq!(self.verify(), Ok(()));
     }
 
-    /// Drops records whose expiry is past on every clock.
-    fn forget(&mut self, now: clock::Wall) {
+    /// Removes records whose expiry has passed on every clock.
+    fn remove_expired(&mut self, now: clock::Wall) {
         while let Some(&(expiry, id)) = self.expiries.first() {
             let running = self.records.get(&id).is_some_and(|r| r.phase == Phase::Running);
             if expiry + self.skew > now || running {
@@ -170,7 +175,7 @@
         }
     }
 
-    /// Checks the table's invariants.
+    /// Checks the invariants of the table.
     ///
     /// # Errors
     ///
@@ -190,16 +195,16 @@
     }
 }
 
-/// A broken invariant of the table.
+/// Violated invariant of the table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum Fault {
-    /// As many records as expiries must stand.
-    #[error("records and expiries differ in number")]
+    /// The numbers of records and expiries differ.
+    #[error("the numbers of records and expiries differ")]
     Count,
-    /// Each record's expiry must be listed.
-    #[error("a record's expiry is not listed")]
+    /// The expiry of a record is not listed.
+    #[error("the expiry of a record is not listed")]
     Expiry,
-    /// The capacity must hold.
-    #[error("more records than the capacity")]
+    /// The table has more records than its capacity.
+    #[error("the table has more records than its capacity")]
     Capacity,
 }
