--- a/decision/src/outage.rs
+++ b/decision/src/outage.rs
@@ -1,18 +1,20 @@
-//! What a gateway believes of a lock-step group: whether it serves, and on what
-//! ground not.
+//! Tracks whether a lock-step group is available to a gateway and, if not, the
+//! ground for treating it as unavailable.
 //!
-//! The pattern: a zone is cut off. A group with ranks on both sides stands still
-//! and then refuses everything until its ranks are together again and it has
-//! formed in a new epoch. A group on the other side of the cut serves on, but not
-//! for the gateways of the zone that is cut off, which reach none of its ranks.
+//! The typical outage is a network partition that cuts off a zone. A group with
+//! ranks on both sides stalls, and then rejects all requests until its ranks are
+//! connected again and it has formed in a new epoch. A group on the other side
+//! keeps serving, but the gateways of the zone that is cut off can connect to none
+//! of its ranks.
 //!
-//! Three things tell of an outage: a rank that refuses, the entries of the ranks
-//! ([`Status`]), and connections to several ranks in a row that do not come about.
-//! Its end is told by entries of a later epoch, by a connection that comes about,
-//! or else by a probe. Where entries told nothing, each of 42 gateways probed a
-//! broken group by a caller's request every 150 ms: of some 67 callers a second
-//! in a zone with a third of the gateways, 18 to 28 were refused for the want of
-//! a retry although another group had room.
+//! An outage is detected in three ways: a rank rejects a request, the entries of
+//! the ranks report it ([`Status`]), or connections to several ranks in a row
+//! fail. Its end is detected by entries of a later epoch, by a successful
+//! connection, or by a probe. Probes alone are too costly. While the entries did
+//! not report the state of the group, each of 42 gateways probed a broken group
+//! with a client's request every 150 ms. In a zone with a third of the gateways
+//! and some 67 requests a second, 18 to 28 requests a second were rejected because
+//! the retry budget was empty, although another group had room.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -20,23 +22,24 @@
 
 use crate::{breaker, clock, entity, fleet};
 
-/// Ranks in a row, without an answer of any between them, to which no connection
-/// comes about until the whole group counts as out of reach. One or two may be
-/// gone by themselves; each costs a caller up to 250 ms.
-const UNREACHED: usize = 3;
+/// Number of ranks to which connections fail, without an answer from the group in
+/// between, before the group counts as unreachable. One or two ranks may have
+/// failed on their own. Each failed connection delays a client by up to 250 ms.
+const UNREACHED_RANKS: usize = 3;
 
-/// Time that a rank's entry takes to tell that the group has formed: the store and
-/// a peer. A guess: not measured by itself, and not tried at half and twice.
+/// Time until a rank's entry that reports that the group has formed arrives, by way
+/// of the store and a peer.
 const STATUS_DELAY: Duration = Duration::from_millis(300);
 
-/// Why a group is believed not to serve.
+/// Ground for treating a group as unavailable. `Display` gives the value of the log
+/// field `ground`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Ground {
-    /// A rank refused and told that the group is broken.
+    /// A rank rejected a request and reported that the group is broken.
     Refused,
-    /// A rank's entry tells that the group is broken.
+    /// A rank's entry reports that the group is broken.
     Told,
-    /// No connection to its ranks comes about.
+    /// Connections to its ranks fail.
     Unreached,
 }
 
@@ -50,20 +53,20 @@
     }
 }
 
-/// What the entries of a group's ranks tell, taken together.
+/// State of a group as the entries of one or more of its ranks report it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Status {
-    /// Newest epoch that a rank tells.
+    /// Newest epoch that a rank reports.
     pub epoch: u64,
-    /// Whether the group runs in it.
+    /// Whether the group is open or broken in that epoch.
     pub state: fleet::Standing,
-    /// Ranks that tell just this, and all that the group has.
+    /// Number of ranks that report this epoch and state, and number of ranks of the group.
     pub ranks: (u32, u32),
 }
 
 impl Status {
-    /// What one rank tells, and what is left when another one's is added: the
-    /// newest epoch counts, and within one a rank that tells of its end.
+    /// Merges the reports of two sets of ranks. The newer epoch takes precedence;
+    /// within an epoch, broken takes precedence over open.
     pub fn merge(self, other: Status) -> Status {
         match self.epoch.cmp(&other.epoch) {
             std::cmp::Ordering::Less => other,
@@ -76,115 +79,117 @@
         }
     }
 
-    /// Whether all ranks are back and know that the group is broken: it then forms
-    /// anew.
-    fn forming(&self) -> bool {
+    /// Returns whether all ranks are running again and report that the group is
+    /// broken. The group then forms again.
+    fn is_forming(&self) -> bool {
         self.state == fleet::Standing::Broken && self.ranks.0 >= self.ranks.1
     }
 }
 
-/// A change of what is believed.
+/// Change of the availability of a group.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Change {
-    /// The group is believed not to serve any more.
+    /// The group became unavailable.
     Down(Ground),
-    /// It is believed to serve again, after that time.
+    /// The group became available after being unavailable for that time.
     Up(Duration),
 }
 
-/// The belief about one group.
+/// Availability of one group.
 #[derive(Debug, Clone, Default)]
 pub struct Outage {
     breaker: breaker::Breaker,
     ground: Option<Ground>,
-    /// Newest epoch that was told.
+    /// Newest epoch that was reported.
     epoch: Option<u64>,
-    /// Newest epoch that is known to be over.
-    over: Option<u64>,
-    /// Since when all ranks tell of the break, if they do.
-    forming: Option<clock::Instant>,
-    /// When it was last believed to serve again.
-    returned: clock::Instant,
-    /// Ranks that were not reached since one last answered.
+    /// Newest epoch that is known to have ended.
+    ended_epoch: Option<u64>,
+    /// Time since which all ranks report that the group is broken, if they do.
+    forming_since: Option<clock::Instant>,
+    /// Time at which the group last became available again.
+    available_since: clock::Instant,
+    /// Ranks to which connections have failed since a rank last answered.
     unreached: BTreeSet<entity::Server>,
 }
 
 impl Outage {
-    /// So many gateways probe the group.
+    /// Sets the number of gateways that probe the group.
     pub fn set_gateways(&mut self, gateways: u32) {
         self.breaker.set_callers(gateways);
     }
 
-    /// Why the group is believed not to serve, if it is.
+    /// Returns the ground for treating the group as unavailable, if it is unavailable.
     pub fn ground(&self) -> Option<Ground> {
         self.ground
     }
 
-    /// Whether a request may be sent to it: it serves, or a probe is due.
+    /// Returns whether a request may be dispatched to the group: the group is available
+    /// or a probe is due.
     pub fn admits(&self, now: clock::Instant) -> bool {
         self.breaker.admits(now)
     }
 
-    /// A request was sent to it.
+    /// Records that a request was dispatched to the group.
     pub fn record_dispatch(&mut self, now: clock::Instant) {
         self.breaker.record_dispatch(now);
     }
 
-    /// A rank refused a request that was sent then, for its group is broken.
+    /// Records that a rank rejected a request dispatched at `sent` because its group is
+    /// broken.
     pub fn record_refusal(&mut self, sent: clock::Instant, now: clock::Instant) -> Option<Change> {
-        // It says nothing of a group that has returned meanwhile.
-        if self.returned > sent {
+        // A rejection of a request from before the group became available is outdated.
+        if self.available_since > sent {
             return None;
         }
-        self.over = self.over.max(self.epoch);
+        self.ended_epoch = self.ended_epoch.max(self.epoch);
         self.open(Ground::Refused, now)
     }
 
-    /// The ranks' entries, as they are now known.
-    pub fn update(&mut self, news: Status, now: clock::Instant) -> Option<Change> {
-        self.epoch = self.epoch.max(Some(news.epoch));
-        self.forming = news.forming().then(|| self.forming.unwrap_or(now));
-        let over = self.over >= Some(news.epoch);
-        match news.state {
-            fleet::Standing::Broken if over => None,
+    /// Applies the current state from the entries of the ranks.
+    pub fn update(&mut self, status: Status, now: clock::Instant) -> Option<Change> {
+        self.epoch = self.epoch.max(Some(status.epoch));
+        self.forming_since = status.is_forming().then(|| self.forming_since.unwrap_or(now));
+        let ended = self.ended_epoch >= Some(status.epoch);
+        match status.state {
+            fleet::Standing::Broken if ended => None,
             fleet::Standing::Broken => {
-                self.over = Some(news.epoch);
+                self.ended_epoch = Some(status.epoch);
                 self.open(Ground::Told, now)
             }
-            fleet::Standing::Open if over || self.ground == Some(Ground::Unreached) => None,
+            fleet::Standing::Open if ended || self.ground == Some(Ground::Unreached) => None,
             fleet::Standing::Open => self.close(now),
         }
     }
 
-    /// No connection to a rank came about.
+    /// Records that a connection to a rank failed.
     pub fn record_connect_failure(
         &mut self,
         rank: entity::Server,
         now: clock::Instant,
     ) -> Option<Change> {
         self.unreached.insert(rank);
-        if self.unreached.len() < UNREACHED || self.breaker.is_open() {
+        if self.unreached.len() < UNREACHED_RANKS || self.breaker.is_open() {
             return None;
         }
         self.open(Ground::Unreached, now)
     }
 
-    /// A connection to a rank came about, where none did before. The group
-    /// serves, unless its epoch is known to be over.
+    /// Records that a connection to a rank of an unreachable group succeeded. The
+    /// group is available unless its epoch is known to have ended.
     pub fn record_connection(&mut self, now: clock::Instant) -> Option<Change> {
         self.unreached.clear();
         if self.ground != Some(Ground::Unreached) {
             return None;
         }
-        if self.epoch.is_some() && self.over >= self.epoch {
+        if self.epoch.is_some() && self.ended_epoch >= self.epoch {
             return self.open(Ground::Told, now);
         }
         self.close(now)
     }
 
-    /// An answer to a request that was sent then began.
+    /// Records the beginning of the answer to a request dispatched at `sent`.
     pub fn record_answer(&mut self, sent: clock::Instant, now: clock::Instant) -> Option<Change> {
-        // One of before the outage is no probe.
+        // A request dispatched before the outage is not a probe.
         if self.breaker.opened().is_some_and(|opened| sent < opened) {
             return None;
         }
@@ -192,10 +197,10 @@
         self.close(now)
     }
 
-    /// How long it takes until the group is expected to serve again, where a
-    /// group forms in that time; none where nothing tells.
+    /// Returns the expected time until the group is available again if a group takes
+    /// `form` to form. Returns `None` if the group does not yet form or is overdue.
     pub fn expected_recovery(&self, form: Duration, now: clock::Instant) -> Option<Duration> {
-        let due = self.forming? + form + STATUS_DELAY;
+        let due = self.forming_since? + form + STATUS_DELAY;
         (due > now).then(|| due.since(now))
     }
 
@@ -207,7 +212,7 @@
     fn close(&mut self, now: clock::Instant) -> Option<Change> {
         self.ground = None;
         let down = self.breaker.record_answer(now)?;
-        self.returned = now;
+        self.available_since = now;
         Some(Change::Up(down))
     }
 }
--- a/decision/src/pace.rs
+++ b/decision/src/pace.rs
@@ -1,165 +1,166 @@
-//! How many streams a group may carry so that their events come in time.
+//! Bounds the number of streams of a lock-step group so that their events arrive in
+//! time.
 //!
-//! Each stream that a group carries makes each of its passes longer, and a
-//! pass that is too long makes all streams late. What a pass costs with so
-//! many streams is published ([`pass::Cost`]), the pauses between events tell
-//! how long it took, and answers tell how many streams the ranks carry. From
-//! these follows the skew: how many times longer a pass takes than published.
-//! The skew jumps when other experts come into demand, faster than the streams
-//! in flight end. So the bound is what fits in time with the skew that the last
-//! seconds have shown, and not with the present one alone.
+//! Each additional stream of a group lengthens every pass, and a pass that is too
+//! long delays all streams. The time of a pass for a number of streams is
+//! published ([`pass::Cost`]), the pauses between events show its actual time, and
+//! answers report the number of streams of their ranks. The skew is the ratio of
+//! the actual to the published time of a pass. It jumps when demand shifts to
+//! other experts, faster than streams in flight end. The bound therefore allows
+//! for the skew of the last seconds, and not only for the current one.
 //!
-//! Gateways share no counter. Each knows how many streams the whole group
-//! carries and takes its part of it: it gives up its part of what is too much,
-//! takes its part of what is free, and goes some way to an even part.
+//! Gateways share no counter. Each knows the number of streams of the whole group
+//! and adjusts its own share: it reduces its share in proportion if the group has
+//! too many streams, adds a share of the free capacity otherwise, and moves some
+//! way towards an even share.
 //!
-//! It also notices that a group stands still.
+//! The module also detects that a group has stalled.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use crate::{clock, pass};
 
-/// Part of the longest wanted pause that a pass may take: the rest is for
-/// prompts that are read at one rank and for the way to the caller. A guess;
-/// `docs/POLICY.md` has what other values bring.
+/// Fraction of the target pause that a pass may take. The rest is for prompts that
+/// are processed at one rank and for the network path to the client.
+/// `docs/POLICY.md` describes the effect of other values.
 const HEADROOM: f64 = 0.9;
-/// Time between two settlements of the bound; one to three passes.
-const INTERVAL: Duration = Duration::from_millis(100);
-/// Time over which the skew is remembered: long enough to cover the time from
-/// one shift of the demand to the next. A guess, see [`HEADROOM`].
-const MEMORY: Duration = Duration::from_secs(8);
-/// Part of the remembered intervals whose skew the bound allows for. What is
-/// above it are passes that a change of the map kept waiting.
-const ALLOWED: f64 = 0.75;
-/// Weight of the newest answer in the mean of the streams of a rank: some
-/// eight answers, about a second of a gateway.
+/// Time between two updates of the bound; one to three passes.
+const UPDATE_INTERVAL: Duration = Duration::from_millis(100);
+/// Time for which skew samples are kept: long enough to cover the time from one
+/// shift of the demand to the next. For other values see [`HEADROOM`].
+const SKEW_MEMORY: Duration = Duration::from_secs(8);
+/// Quantile of the kept skew samples that the bound allows for. Samples above it
+/// are from passes that a map change delayed.
+const SKEW_QUANTILE: f64 = 0.75;
+/// Weight of the newest answer in the mean number of streams of a rank. The mean
+/// covers some eight answers, about one second at a gateway.
 const REPORT_GAIN: f64 = 0.12;
-/// Weight of the newest interval in the mean of the own streams: as slow as
-/// the reports, so that both are of the same time.
+/// Weight of the newest interval in the mean number of own streams. The mean follows
+/// as slowly as that of the reports, so that both describe the same time.
 const OWN_GAIN: f64 = 0.1;
-/// Part of the way to an even part of the group that a gateway goes at once: so
-/// one that has just started gets its part from those that hold more.
-const EVENING: f64 = 0.1;
-/// Least bound, so that there are always events to learn from.
-const LEAST: f64 = 2.0;
-/// Events of an interval that its longest pauses are left out of, as a part:
-/// one backend server that is slow to send must not stop all.
-const OUTLIERS: f64 = 0.1;
-/// Time without any event after which a group with streams stands still.
-const STALL: Duration = Duration::from_millis(450);
-
-/// What is known of a group beside its pauses.
+/// Fraction of the distance to an even share by which a gateway moves in one update,
+/// so that a gateway that has just started obtains a share from those with more.
+const EVEN_SHARE_GAIN: f64 = 0.1;
+/// Minimum bound, so that there are always events to measure.
+const MIN_BOUND: f64 = 2.0;
+/// Fraction of the pauses of an interval that are ignored, longest first, so that one
+/// backend server that sends slowly does not stop the whole group.
+const OUTLIER_FRACTION: f64 = 0.1;
+/// Time without any event after which a group with streams counts as stalled.
+const STALL_TIMEOUT: Duration = Duration::from_millis(450);
+
+/// State of a group at an update of the bound.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Snapshot {
-    /// Ranks that take requests.
+    /// Number of ranks of the group.
     pub ranks: u32,
-    /// Streams that a rank runs at a time.
+    /// Maximum number of concurrent streams of a rank.
     pub slots: u32,
     /// Own streams in flight.
     pub in_flight: u32,
-    /// Gateways that share the group.
+    /// Number of gateways that share the group.
     pub gateways: u32,
-    /// What a pass costs.
+    /// Published cost of a pass.
     pub cost: pass::Cost,
 }
 
-/// What a bound was settled by, for the log.
+/// An updated bound and the values that it was computed from, for the log.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Bound {
     /// Own streams that may be in flight.
     pub bound: f64,
     /// Own streams in flight.
     pub in_flight: u32,
-    /// Streams that a rank carries.
+    /// Streams of a rank.
     pub streams: f64,
-    /// Streams that a rank can carry in time.
+    /// Streams of a rank that fit into the target pause.
     pub fitting: f64,
-    /// Times that a pass took longer than published.
+    /// Ratio of the actual to the published time of a pass.
     pub skew: f64,
     /// The skew that the bound allows for.
     pub allowed: f64,
 }
 
-/// The bound of one group.
+/// Bound on the own streams of one group.
 #[derive(Debug, Clone)]
 pub struct Pace {
     bound: f64,
-    /// Streams of a rank by the answers of late; none before the first answer.
+    /// Mean number of streams of a rank by recent answers; `None` before the first answer.
     streams: Option<f64>,
-    /// Own streams in flight, as slow to follow as `streams`.
-    own: f64,
-    /// Skew of the intervals of late, and when each ended.
+    /// Mean number of own streams in flight, which follows as slowly as `streams`.
+    own_streams: f64,
+    /// Skew of recent intervals, each with the time at which the interval ended.
     skews: VecDeque<(clock::Instant, f64)>,
-    /// Pauses of this interval, seconds.
+    /// Pauses of the current interval, seconds.
     pauses: Vec<f32>,
-    changed: clock::Instant,
-    progress: clock::Instant,
+    updated: clock::Instant,
+    last_event: clock::Instant,
 }
 
 impl Default for Pace {
-    /// No bound until pauses are seen.
+    /// Returns a pace without a bound. The first pauses set one.
     fn default() -> Pace {
         Pace {
             bound: f64::INFINITY,
             streams: None,
-            own: 0.0,
+            own_streams: 0.0,
             skews: VecDeque::new(),
             pauses: Vec::new(),
-            changed: clock::Instant::ZERO,
-            progress: clock::Instant::ZERO,
+            updated: clock::Instant::ZERO,
+            last_event: clock::Instant::ZERO,
         }
     }
 }
 
 impl Pace {
-    /// Own streams that may be in flight.
+    /// Returns the number of own streams that may be in flight.
     pub fn bound(&self) -> u32 {
-        // Saturates where there is no bound.
+        // The cast saturates if there is no bound yet.
         self.bound as u32
     }
 
-    /// An answer told how many streams its rank runs and keeps waiting.
+    /// Records the number of running and waiting streams that an answer reported for its rank.
     pub fn record_streams(&mut self, streams: u32) {
         let sample = f64::from(streams);
         let mean = self.streams.unwrap_or(sample);
         self.streams = Some(mean + REPORT_GAIN * (sample - mean));
     }
 
-    /// An event came after a pause, which is zero for a stream's first one.
-    /// Returns whether the bound is to be settled.
+    /// Records an event and the pause before it, which is zero for the first event of
+    /// a stream. Returns whether an update of the bound is due.
     pub fn record_event(&mut self, pause: Duration, now: clock::Instant) -> bool {
-        self.progress = now;
+        self.last_event = now;
         if !pause.is_zero() {
             self.pauses.push(pause.as_secs_f32());
         }
-        now.since(self.changed) >= INTERVAL && !self.pauses.is_empty()
+        now.since(self.updated) >= UPDATE_INTERVAL && !self.pauses.is_empty()
     }
 
-    /// Settles the bound by the pauses since the last time, where events are
-    /// wanted within `wanted`.
+    /// Updates the bound from the pauses since the last update. `target_pause` is the
+    /// longest pause between events that is acceptable.
     pub fn update_bound(
         &mut self,
-        wanted: Duration,
+        target_pause: Duration,
         view: &Snapshot,
         now: clock::Instant,
     ) -> Bound {
-        self.changed = now;
+        self.updated = now;
         let in_flight = f64::from(view.in_flight);
-        self.own += OWN_GAIN * (in_flight - self.own);
+        self.own_streams += OWN_GAIN * (in_flight - self.own_streams);
         let pause = self.high_pause();
         self.pauses.clear();
         let ranks = f64::from(view.ranks.max(1));
         let streams = self.streams.unwrap_or(in_flight / ranks);
         let skew = pause / view.cost.time(streams).max(f64::MIN_POSITIVE);
-        self.remember(skew, now);
-        let time = wanted.as_secs_f64() * HEADROOM;
+        self.record_skew(skew, now);
+        let time = target_pause.as_secs_f64() * HEADROOM;
         let fits = |skew: f64| view.cost.streams(time / skew.max(f64::MIN_POSITIVE));
         let slots = f64::from(view.slots.max(1));
         let allowed = skew.max(self.allowed_skew());
         let fitting = match fits(allowed) {
-            // Not even one stream a rank would be in time for ever: then by
-            // what is seen now, and if that is no better, late ones are served.
+            // Not even one stream per rank would ever be in time. The current skew is
+            // used instead, and if that is no better, streams are served late.
             few if few < 1.0 => match fits(skew) {
                 none if none < 1.0 => slots,
                 some => some,
@@ -168,50 +169,50 @@
         };
         let fitting = fitting.min(slots);
         let gateways = f64::from(view.gateways.max(1));
-        let own_part = if streams > fitting {
-            in_flight.min(self.own) * fitting / streams
+        let own_share = if streams > fitting {
+            in_flight.min(self.own_streams) * fitting / streams
         } else {
             let free = (fitting - streams) * ranks;
-            let part = self.own / (streams * ranks).max(1.0);
-            self.own + free * part.clamp(1.0 / gateways, 1.0)
+            let share = self.own_streams / (streams * ranks).max(1.0);
+            self.own_streams + free * share.clamp(1.0 / gateways, 1.0)
         };
-        let even_part = fitting * ranks / gateways;
-        self.bound = (own_part + EVENING * (even_part - own_part)).max(LEAST);
+        let even_share = fitting * ranks / gateways;
+        self.bound = (own_share + EVEN_SHARE_GAIN * (even_share - own_share)).max(MIN_BOUND);
         Bound { bound: self.bound, in_flight: view.in_flight, streams, fitting, skew, allowed }
     }
 
-    fn remember(&mut self, skew: f64, now: clock::Instant) {
+    fn record_skew(&mut self, skew: f64, now: clock::Instant) {
         self.skews.push_back((now, skew));
-        while self.skews.front().is_some_and(|(at, _)| now.since(*at) > MEMORY) {
+        while self.skews.front().is_some_and(|(at, _)| now.since(*at) > SKEW_MEMORY) {
             self.skews.pop_front();
         }
     }
 
-    /// The skew that the bound allows for.
+    /// Returns the quantile of the recent skew that the bound allows for.
     fn allowed_skew(&self) -> f64 {
         let mut skews: Vec<f64> = self.skews.iter().map(|(_, skew)| *skew).collect();
         skews.sort_by(f64::total_cmp);
-        let index = (skews.len() as f64 * ALLOWED) as usize;
+        let index = (skews.len() as f64 * SKEW_QUANTILE) as usize;
         skews.get(index.min(skews.len().saturating_sub(1))).copied().unwrap_or(1.0)
     }
 
-    /// The longest pause, but for the outliers, seconds.
+    /// Returns the longest pause without the outliers, seconds.
     fn high_pause(&mut self) -> f64 {
         self.pauses.sort_by(f32::total_cmp);
-        let skipped = (self.pauses.len() as f64 * OUTLIERS) as usize;
+        let skipped = (self.pauses.len() as f64 * OUTLIER_FRACTION) as usize;
         self.pauses.iter().rev().nth(skipped).map_or(0.0, |pause| f64::from(*pause))
     }
 
-    /// A stream was sent: the time without events counts from here at the least,
-    /// if there was no other stream.
+    /// Records the dispatch of a stream. If no other stream was in flight, the time
+    /// without events starts now.
     pub fn record_dispatch(&mut self, in_flight_before: u32, now: clock::Instant) {
         if in_flight_before == 0 {
-            self.progress = now;
+            self.last_event = now;
         }
     }
 
-    /// Whether the group's streams stand still.
+    /// Returns whether the streams of the group have stalled.
     pub fn is_stalled(&self, in_flight: u32, now: clock::Instant) -> bool {
-        in_flight > 1 && now.since(self.progress) > STALL
+        in_flight > 1 && now.since(self.last_event) > STALL_TIMEOUT
     }
 }
