--- a/decision/tests/episodes.rs
+++ b/decision/tests/episodes.rs
@@ -1,4 +1,4 @@
-//! How long a state lasts is learnt from how long it lasted.
+//! The expected duration of a state follows its previous durations.
 
 use std::time::Duration;
 
@@ -6,19 +6,19 @@
 use loftcove_decision::episode::Episode;
 
 #[test]
-fn nothing_is_expected_before_the_first_has_ended() {
+fn expects_no_duration_before_the_first_episode_has_ended() {
     let mut episode = Episode::default();
     episode.begin(Instant::from_millis(5));
     assert_eq!(episode.expected_duration(), None);
 }
 
 #[test]
-fn the_mean_follows_the_episodes() {
+fn the_expected_duration_follows_the_previous_ones() {
     let mut episode = Episode::default();
     let mut now = Instant::from_millis(1_000);
     for _ in 0..20 {
         episode.begin(now);
-        // A second look at the same state does not begin it anew.
+        // A second observation of the same state does not restart the episode.
         episode.begin(now + Duration::from_millis(100));
         now = now + Duration::from_millis(400);
         episode.end(now);
@@ -27,6 +27,9 @@
     assert_eq!(episode.expected_duration(), Some(Duration::from_millis(400)));
     episode.begin(now);
     episode.end(now + Duration::from_secs(2));
-    let left = episode.expected_duration().unwrap_or_default();
-    assert!(left > Duration::from_millis(800) && left < Duration::from_secs(1), "{left:?}");
+    let duration = episode.expected_duration().unwrap_or_default();
+    assert!(
+        duration > Duration::from_millis(800) && duration < Duration::from_secs(1),
+        "{duration:?}"
+    );
 }
--- a/decision/tests/estimates.rs
+++ b/decision/tests/estimates.rs
@@ -1,8 +1,9 @@
-//! Estimates by which requests are refused are corrected.
+//! Estimates that lead to rejections are corrected.
 //!
-//! Seen: a gateway that had stood still for five seconds refused all requests of a
-//! pool from then on, with idle servers. Cause: one answer had taken five seconds by
-//! its clock, which no deadline allows, and a refused request brings no other answer.
+//! Guards against a gateway that rejects all requests of a pool although its servers are
+//! idle. The gateway had stalled for five seconds, so that one answer took five seconds by
+//! its clock, longer than any deadline. As rejected requests bring no answers, the estimate
+//! was never corrected.
 
 #![allow(clippy::unwrap_used, reason = "a test that fails may panic")]
 
@@ -14,8 +15,8 @@
 use rand_chacha::rand_core::SeedableRng as _;
 
 const DEADLINE: Duration = Duration::from_secs(3);
-/// Time of the answer that was under way as the gateway stood still.
-const STOOD_STILL: Duration = Duration::from_secs(5);
+/// Duration of the answer that was in flight while the gateway stalled.
+const STALL: Duration = Duration::from_secs(5);
 const ANSWER: Duration = Duration::from_millis(5);
 
 struct Setup {
@@ -24,7 +25,7 @@
 }
 
 impl Setup {
-    /// One server with four slots.
+    /// Returns a balancer with one server of four slots.
     fn new() -> Setup {
         let rng = ChaCha8Rng::seed_from_u64(5);
         let policy = policy::Blend { rng, sample: 2, affinity_slack: 0.0 };
@@ -56,7 +57,7 @@
         Setup { balancer, now }
     }
 
-    /// A request arrives; returns its ticket if it was sent.
+    /// Lets a request arrive. Returns its ticket if it was dispatched.
     fn arrive(&mut self) -> Option<entity::Ticket> {
         let arrival = balancer::Arrival {
             pool: entity::Pool::from_u32(0),
@@ -83,22 +84,22 @@
 }
 
 #[test]
-fn one_answer_that_took_longer_than_all_deadlines_refuses_nobody_for_good() {
+fn one_answer_slower_than_all_deadlines_does_not_block_an_idle_pool() {
     let mut setup = Setup::new();
     let first = setup.arrive().unwrap();
-    setup.answer(first, STOOD_STILL);
+    setup.answer(first, STALL);
     for _ in 0..20 {
         let ticket = setup.arrive().expect("the server is idle");
         setup.answer(ticket, ANSWER);
     }
 }
 
-/// While an answer is under way that may correct it, the estimate holds.
+/// The estimate stays in effect while an answer is in flight that may correct it.
 #[test]
-fn what_cannot_be_answered_in_time_is_refused_at_once() {
+fn rejects_requests_at_once_that_would_miss_their_deadline() {
     let mut setup = Setup::new();
     let (first, second) = (setup.arrive().unwrap(), setup.arrive().unwrap());
-    setup.answer(first, STOOD_STILL);
+    setup.answer(first, STALL);
     assert_eq!(setup.arrive(), None);
     setup.answer(second, ANSWER);
 }
--- a/decision/tests/groups.rs
+++ b/decision/tests/groups.rs
@@ -1,5 +1,5 @@
-//! A pool with several lock-step groups: one that is broken, stands still or
-//! is full is passed over for another one.
+//! Pools with several lock-step groups. Requests go to another group if one is broken,
+//! has stalled or is full.
 
 #![allow(clippy::unwrap_used, reason = "a test that fails may panic")]
 
@@ -10,7 +10,7 @@
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::SeedableRng as _;
 
-/// Ranks of each group; the first group is in the own zone.
+/// Number of ranks of each group. The first group is in the zone of the gateway.
 const RANKS: u32 = 3;
 
 struct Setup {
@@ -71,8 +71,8 @@
         self.balancer.arrive(arrival, self.now)
     }
 
-    /// Group that a request was sent to, or why it was refused.
-    fn fate(&self, actions: &[balancer::Action]) -> Result<u32, balancer::Reason> {
+    /// Returns the group that a request was dispatched to, or the reason for its rejection.
+    fn outcome(&self, actions: &[balancer::Action]) -> Result<u32, balancer::Reason> {
         let [action] = actions else { panic!("one action, not {actions:?}") };
         match action {
             balancer::Action::Send(dispatch) => Ok(dispatch.choice.server.as_u32() / RANKS),
@@ -82,58 +82,58 @@
 }
 
 #[test]
-fn a_request_that_a_broken_group_refused_goes_to_another() {
+fn a_request_rejected_by_a_broken_group_goes_to_another_group() {
     let mut setup = Setup::new(2);
     let (ticket, actions) = setup.arrive();
-    assert_eq!(setup.fate(&actions), Ok(0), "the own zone's group goes first");
+    assert_eq!(setup.outcome(&actions), Ok(0), "the group in the zone of the gateway is preferred");
     let actions = setup.balancer.end(ticket, balancer::End::GroupDown, setup.now);
-    assert_eq!(setup.fate(&actions), Ok(1));
-    // The next ones do not try the broken group at all.
+    assert_eq!(setup.outcome(&actions), Ok(1));
+    // Later requests are not dispatched to the broken group.
     let (_, actions) = setup.arrive();
-    assert_eq!(setup.fate(&actions), Ok(1));
+    assert_eq!(setup.outcome(&actions), Ok(1));
     assert_eq!(setup.balancer.verify(), Ok(()));
 }
 
 #[test]
-fn a_probe_finds_out_that_a_group_serves_again() {
+fn a_probe_detects_that_a_group_is_available_again() {
     let mut setup = Setup::new(2);
     let (ticket, _) = setup.arrive();
     setup.balancer.end(ticket, balancer::End::GroupDown, setup.now);
     setup.now = setup.now + Duration::from_millis(200);
     let (probe, actions) = setup.arrive();
-    assert_eq!(setup.fate(&actions), Ok(0));
+    assert_eq!(setup.outcome(&actions), Ok(0));
     let (_, actions) = setup.arrive();
-    assert_eq!(setup.fate(&actions), Ok(1), "one probe at a time");
+    assert_eq!(setup.outcome(&actions), Ok(1), "one probe at a time");
     setup.balancer.begin(probe, Duration::from_millis(20), setup.now);
     let (_, actions) = setup.arrive();
-    assert_eq!(setup.fate(&actions), Ok(0));
+    assert_eq!(setup.outcome(&actions), Ok(0));
 }
 
 #[test]
-fn a_group_that_stands_still_is_passed_over() {
+fn a_stalled_group_gets_no_requests() {
     let mut setup = Setup::new(2);
     setup.arrive();
     setup.arrive();
     setup.now = setup.now + Duration::from_secs(1);
     let (_, actions) = setup.arrive();
-    assert_eq!(setup.fate(&actions), Ok(1));
+    assert_eq!(setup.outcome(&actions), Ok(1));
 }
 
 #[test]
-fn a_pool_whose_groups_are_all_down_refuses_at_once() {
+fn a_pool_without_an_available_group_rejects_at_once() {
     let mut setup = Setup::new(2);
     let (first, _) = setup.arrive();
     let actions = setup.balancer.end(first, balancer::End::GroupDown, setup.now);
-    assert_eq!(setup.fate(&actions), Ok(1));
+    assert_eq!(setup.outcome(&actions), Ok(1));
     let actions = setup.balancer.end(first, balancer::End::GroupDown, setup.now);
-    assert_eq!(setup.fate(&actions), Err(balancer::Reason::GroupDown));
+    assert_eq!(setup.outcome(&actions), Err(balancer::Reason::GroupDown));
     let (_, actions) = setup.arrive();
-    assert_eq!(setup.fate(&actions), Err(balancer::Reason::GroupDown));
+    assert_eq!(setup.outcome(&actions), Err(balancer::Reason::GroupDown));
     assert_eq!(setup.balancer.verify(), Ok(()));
 }
 
 #[test]
-fn a_group_whose_passes_are_long_sheds_to_another() {
+fn requests_go_to_another_group_if_passes_are_too_long() {
     let mut setup = Setup::new(2);
     let tickets: Vec<entity::Ticket> = (0..6).map(|_| setup.arrive().0).collect();
     for _ in 0..4 {
@@ -144,5 +144,5 @@
         }
     }
     let (_, actions) = setup.arrive();
-    assert_eq!(setup.fate(&actions), Ok(1));
+    assert_eq!(setup.outcome(&actions), Ok(1));
 }
--- a/decision/tests/limits.rs
+++ b/decision/tests/limits.rs
@@ -1,5 +1,5 @@
-//! Backend servers that name a rate limit: all gateways together send no more, whatever
-//! they know of each other, use most of it, and hear of its end.
+//! Backend servers that report a rate limit. All gateways together keep within the limit
+//! even if their views of each other differ, use most of it, and detect that it is lifted.
 
 #![allow(clippy::unwrap_used, reason = "a test that fails may panic")]
 
@@ -12,7 +12,8 @@
 
 const SERVER: &str = "server-1";
 const ZONE: &str = "norte";
-/// Span in which the users count, and how long after it was told a gateway counts.
+/// Span over which the users count requests, and time after a gateway received the limit
+/// from which its requests count.
 const SPAN: Duration = Duration::from_secs(4);
 const SETTLE: Duration = Duration::from_millis(500);
 const STEP: Duration = Duration::from_millis(20);
@@ -22,7 +23,7 @@
     Limit::per_second(rate).unwrap()
 }
 
-/// Gateway by its number; one of `zones` is in the server's.
+/// Returns the gateway of that number. One in `zones` is in the zone of the server.
 fn peer(number: usize, zones: usize) -> Peer {
     let zone = if number.is_multiple_of(zones) {
         ZONE.to_owned()
@@ -40,20 +41,21 @@
     BEGIN + Duration::from_millis(ms)
 }
 
-/// A gateway that always has something to send.
+/// A gateway that always has a request to dispatch.
 struct Gateway {
     number: usize,
     quota: Option<Quota>,
-    told: Option<clock::Instant>,
+    informed: Option<clock::Instant>,
     runs: bool,
 }
 
 impl Gateway {
     fn new(number: usize, runs: bool) -> Gateway {
-        Gateway { number, quota: None, told: None, runs }
+        Gateway { number, quota: None, informed: None, runs }
     }
 
-    /// Whether it sends a request now, whose answer comes at once.
+    /// Dispatches a request if the quota admits it; the answer arrives at once. Returns
+    /// whether a request was dispatched.
     fn send(
         &mut self,
         rate: Limit,
@@ -61,20 +63,20 @@
         zones: usize,
         now: clock::Instant,
     ) -> bool {
-        let goes = self.runs && self.quota.is_none_or(|quota| quota.admits(now));
-        if goes {
+        let admitted = self.runs && self.quota.is_none_or(|quota| quota.admits(now));
+        if admitted {
             if let Some(quota) = &mut self.quota {
                 quota.sent(now);
             }
             let place = || place(self.number, listed.iter().copied(), zones);
             Quota::hear(&mut self.quota, Notice::Limited(rate), place, (now, now));
-            self.told.get_or_insert(now);
+            self.informed.get_or_insert(now);
         }
-        goes
+        admitted
     }
 
     fn counts(&self, now: clock::Instant) -> bool {
-        self.told.is_some_and(|told| now >= told + SETTLE)
+        self.informed.is_some_and(|informed| now >= informed + SETTLE)
     }
 }
 
@@ -86,31 +88,32 @@
     arrivals.iter().map(within).max().unwrap_or(0)
 }
 
-/// Gateways that come and go at a time, and when each of the others hears of it.
+/// Gateways that start or stop at a time, and the delay until each of the others receives
+/// the update.
 #[derive(Debug, Clone)]
 struct Turnover {
     ms: u64,
     changed: BTreeSet<usize>,
-    heard_ms: Vec<u64>,
+    received_ms: Vec<u64>,
 }
 
 const GATEWAYS: usize = 24;
 
 fn turnover() -> impl Strategy<Value = Turnover> {
     let changed = prop::collection::btree_set(0..GATEWAYS, 1..GATEWAYS);
-    let heard = prop::collection::vec(0_u64..2_000, GATEWAYS);
-    (0_u64..40_000, changed, heard).prop_map(|(ms, changed, heard_ms)| Turnover {
+    let received = prop::collection::vec(0_u64..2_000, GATEWAYS);
+    (0_u64..40_000, changed, received).prop_map(|(ms, changed, received_ms)| Turnover {
         ms,
         changed,
-        heard_ms,
+        received_ms,
     })
 }
 
 proptest! {
-    /// Gateways that differ for two seconds on who there is send no more together than the
-    /// users allow: one and a half times the limit, and five requests.
+    /// Gateways whose lists of running gateways differ for two seconds together keep within
+    /// the users' bound of one and a half times the limit plus five requests.
     #[test]
-    fn gateways_that_differ_on_who_there_is_keep_the_bound(
+    fn gateways_with_different_peer_lists_keep_within_the_limit(
         rate in prop_oneof![Just(0.0), Just(0.2), Just(1.0), 0.05_f64..4.0, 4.0_f64..60.0],
         zones in 1_usize..4,
         first in prop::collection::btree_set(0..GATEWAYS, 1..GATEWAYS),
@@ -126,15 +129,16 @@
             let now = at(ms);
             for turnover in turnovers.iter().filter(|turnover| turnover.ms / 20 == ms / 20) {
                 for number in &turnover.changed {
-                    let comes = running.insert(*number) || !running.remove(number);
-                    gateways[*number] = Gateway::new(*number, comes);
+                    let starts = running.insert(*number) || !running.remove(number);
+                    gateways[*number] = Gateway::new(*number, starts);
                 }
-                // Who starts reads the list.
+                // A gateway that starts reads the current list.
                 turnover.changed.iter().for_each(|number| views[*number] = running.clone());
             }
             for (number, gateway) in gateways.iter_mut().enumerate() {
-                let heard = turnovers.iter().any(|t| (t.ms + t.heard_ms[number]) / 20 == ms / 20);
-                if heard {
+                let received =
+                    turnovers.iter().any(|t| (t.ms + t.received_ms[number]) / 20 == ms / 20);
+                if received {
                     views[number] = running.clone();
                     if let Some(quota) = &mut gateway.quota {
                         quota.set_place(place(number, running.iter().copied(), zones), now);
@@ -151,7 +155,7 @@
     }
 }
 
-/// Requests in 200 s that so many gateways send, each of which always has one.
+/// Returns the arrivals within 200 s from gateways that always have a request to dispatch.
 fn sent(rate: f64, gateways: usize, zones: usize) -> Vec<clock::Instant> {
     let all: BTreeSet<usize> = (0..gateways).collect();
     let mut gateways: Vec<Gateway> = (0..gateways).map(|n| Gateway::new(n, true)).collect();
@@ -166,9 +170,9 @@
     arrivals
 }
 
-/// The aim: four fifths of what a server allows are used where there is work for it.
+/// The aim is to use at least four fifths of a server's limit while there is work for it.
 #[test]
-fn four_fifths_of_a_limit_are_used_at_any_number_of_gateways() {
+fn any_number_of_gateways_uses_four_fifths_of_a_limit() {
     for (gateways, zones) in [(1, 1), (8, 3), (31, 3), (300, 31), (1_000, 31)] {
         for rate in [0.2, 1.0, 7.0, 40.0] {
             let arrivals = sent(rate, gateways, zones);
@@ -182,34 +186,34 @@
 }
 
 #[test]
-fn gateways_of_the_servers_zone_use_its_limit() {
+fn gateways_in_the_zone_of_the_server_rank_first() {
     let rank = |number| place(number, 0..9, 3).rank;
     let mut near: Vec<u32> = (0..9).step_by(3).map(rank).collect();
     near.sort_unstable();
     assert_eq!(near, [0, 1, 2]);
-    // A zone without gateways is served by those of others.
+    // A server in a zone without gateways gets requests from gateways of other zones.
     let far = Peers::new(peer(1, 3), [peer(2, 3), peer(4, 3)]).place(SERVER, ZONE);
     let mut quota = None;
     Quota::hear(&mut quota, Notice::Limited(limit(1.0)), || far, (at(0), at(0)));
     assert!(quota.unwrap().pace().holder);
 }
 
-/// What an answer says to a request that was sent then, read at that time.
+/// Applies the notice of an answer that was read at `read`, to a request dispatched at `sent`.
 fn hear(quota: &mut Option<Quota>, notice: Notice, sent: u64, read: u64) -> Option<Change> {
     Quota::hear(quota, notice, || place(0, 0..1, 1), (at(sent), at(read)))
 }
 
 #[test]
-fn answers_that_come_out_of_order_neither_lift_nor_raise_a_limit() {
+fn answers_to_earlier_requests_neither_lift_nor_raise_a_limit() {
     let named = |rate| Notice::Limited(limit(rate));
     let mut quota = None;
     assert_eq!(hear(&mut quota, named(2.0), 0, 100), Some(Change::Limited(limit(2.0), None)));
-    // These were sent before that was heard.
+    // These requests were dispatched before the limit was received.
     assert_eq!(hear(&mut quota, Notice::Unlimited, 50, 120), None);
     assert_eq!(hear(&mut quota, named(5.0), 90, 130), None);
     let lowered = Some(Change::Limited(limit(1.0), Some(limit(2.0))));
     assert_eq!(hear(&mut quota, named(1.0), 95, 140), lowered);
-    // These after it.
+    // These were dispatched after it.
     let raised = Some(Change::Limited(limit(5.0), Some(limit(1.0))));
     assert_eq!(hear(&mut quota, named(5.0), 140, 200), raised);
     assert_eq!(hear(&mut quota, Notice::Unreadable, 210, 220), None);
@@ -221,7 +225,7 @@
 }
 
 #[test]
-fn a_limit_of_nothing_is_asked_after_now_and_then() {
+fn a_limit_of_zero_admits_an_occasional_probe() {
     let mut quota = None;
     hear(&mut quota, Notice::Limited(limit(0.0)), 0, 0);
     let quota = quota.unwrap();
@@ -230,7 +234,7 @@
 }
 
 #[test]
-fn a_limit_that_changes_several_times_a_second_is_followed() {
+fn follows_a_limit_that_changes_several_times_a_second() {
     let mut quota = None;
     let mut sent = Vec::new();
     for step in 0..1_000 {
@@ -247,7 +251,7 @@
 }
 
 #[test]
-fn rates_that_are_no_number_of_requests_are_none() {
+fn rejects_rates_that_are_negative_or_not_finite() {
     assert_eq!(Limit::per_second(f64::NAN), None);
     assert_eq!(Limit::per_second(f64::INFINITY), None);
     assert_eq!(Limit::per_second(-0.1), None);
--- a/decision/tests/outage.rs
+++ b/decision/tests/outage.rs
@@ -1,6 +1,6 @@
-//! What is believed of a group when a zone is cut off: the group across the cut
-//! is broken until its ranks tell of a later epoch, and the one beyond it is out
-//! of reach until a connection comes about.
+//! Availability of groups while a network partition cuts off a zone. A group with ranks
+//! on both sides is broken until its ranks report a later epoch. A group on the other
+//! side is unreachable until a connection succeeds.
 
 #![allow(clippy::unwrap_used, reason = "a test that fails may panic")]
 
@@ -29,7 +29,7 @@
     Status { epoch, state: Standing::Broken, ranks: (1, 3) }
 }
 
-/// Gateways that probe the group in these tests.
+/// Number of gateways that probe the group in these tests.
 const GATEWAYS: u32 = 42;
 
 fn outage() -> Outage {
@@ -39,21 +39,21 @@
 }
 
 #[test]
-fn the_newest_epoch_counts_and_its_end_before_its_beginning() {
+fn merge_prefers_the_newest_epoch_and_broken_over_open() {
     assert_eq!(open(1).merge(broken(1)), broken(1));
-    assert_eq!(broken(1).merge(open(1)), broken(1), "an entry that is not yet rewritten");
+    assert_eq!(broken(1).merge(open(1)), broken(1), "an entry that is not yet updated");
     assert_eq!(broken(1).merge(open(2)), open(2));
     assert_eq!(open(2).merge(broken(1)), open(2));
 }
 
 #[test]
-fn a_group_is_down_from_the_first_rank_that_says_so_to_a_later_epoch() {
+fn a_group_is_unavailable_from_the_first_rejection_until_a_later_epoch() {
     let mut outage = outage();
     assert_eq!(outage.update(open(1), at(0)), None);
     let down = outage.record_refusal(at(10), at(20));
     assert_eq!(down, Some(Change::Down(Ground::Refused)));
     assert!(!outage.admits(at(1_000)));
-    // Entries of the epoch that is over tell nothing new.
+    // Entries of the epoch that has ended change nothing.
     assert_eq!(outage.update(open(1), at(30)), None);
     assert_eq!(outage.update(broken(1), at(1_200)), None);
     assert_eq!(outage.update(open(2), at(6_020)), Some(Change::Up(Duration::from_millis(6_000))));
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn entries_tell_of_a_break_that_nobody_here_has_met() {
+fn entries_report_a_broken_group_before_any_rejection() {
     let mut outage = outage();
     assert_eq!(outage.update(broken(0), at(0)), Some(Change::Down(Ground::Told)));
     assert!(!outage.admits(at(500)));
@@ -71,38 +71,38 @@
 }
 
 #[test]
-fn what_was_sent_before_a_change_says_nothing_of_it() {
+fn requests_dispatched_before_a_change_do_not_affect_the_state() {
     let mut outage = outage();
     outage.update(open(1), at(0));
     outage.record_refusal(at(10), at(20));
-    // An answer that was on its way is no probe.
+    // An answer to a request that was already in flight is not a probe.
     assert_eq!(outage.record_answer(at(15), at(25)), None);
     assert!(!outage.admits(at(100)));
     outage.update(open(2), at(6_000));
-    // Nor does a refusal of before tell of the new epoch.
+    // A rejection of an earlier request does not apply to the new epoch.
     assert_eq!(outage.record_refusal(at(5_990), at(6_010)), None);
     assert!(outage.admits(at(6_010)));
 }
 
 #[test]
-fn a_group_of_which_no_rank_is_reached_is_out_of_reach_until_one_is() {
+fn a_group_is_unreachable_until_a_connection_to_a_rank_succeeds() {
     let mut outage = outage();
     outage.update(open(1), at(0));
     assert_eq!(outage.record_connect_failure(rank(1), at(0)), None);
-    assert_eq!(outage.record_connect_failure(rank(1), at(1)), None, "the same one");
+    assert_eq!(outage.record_connect_failure(rank(1), at(1)), None, "the same rank");
     assert_eq!(outage.record_connect_failure(rank(2), at(2)), None);
     assert_eq!(
         outage.record_connect_failure(rank(3), at(3)),
         Some(Change::Down(Ground::Unreached))
     );
-    // Beyond the cut the group serves on, which is no help here.
+    // The group still serves on the other side of the partition, but not for this gateway.
     assert_eq!(outage.update(open(1), at(100)), None);
     assert!(!outage.admits(at(1_000)));
     assert_eq!(outage.record_connection(at(5_003)), Some(Change::Up(Duration::from_millis(5_000))));
 }
 
 #[test]
-fn single_ranks_that_are_gone_stop_no_group() {
+fn single_unreachable_ranks_do_not_make_a_group_unavailable() {
     let mut outage = outage();
     for round in 0..10 {
         assert_eq!(outage.record_connect_failure(rank(1), at(round * 10)), None);
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn a_group_that_is_reached_again_may_yet_be_broken() {
+fn a_group_that_is_reachable_again_may_still_be_broken() {
     let mut outage = outage();
     outage.update(open(1), at(0));
     for number in 0..3 {
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn all_gateways_together_probe_as_often_as_one_alone() {
+fn the_total_probe_rate_does_not_grow_with_the_gateways() {
     let probes = |gateways: u32| -> usize {
         let mut outage = Outage::default();
         outage.set_gateways(gateways);
@@ -142,30 +142,30 @@
     };
     let alone = probes(1);
     assert!((38..=40).contains(&alone), "{alone}");
-    // One probe each 1.5 s of ten.
+    // Each of ten gateways probes once in 1.5 s.
     assert!((30..=40).contains(&(probes(10) * 10)), "{}", probes(10));
-    // Also hundreds find out by themselves within seconds.
+    // With hundreds of gateways, each still probes within seconds.
     assert!((1..=2).contains(&probes(148)), "{}", probes(148));
 }
 
 /// Time in which a group of these tests forms.
 const FORM: Duration = Duration::from_millis(600);
 
-/// A pool of three ranks of one group, all of which were restarted.
+/// A pool with three ranks of one group, all of which were restarted.
 struct Restart {
     balancer: balancer::Balancer<policy::Blend>,
 }
 
 impl Restart {
-    /// A pool of which so many ranks tell that the group is broken.
-    fn new(telling: u32) -> Restart {
+    /// Returns a pool in which `reporting` ranks report that the group is broken.
+    fn new(reporting: u32) -> Restart {
         let rng = ChaCha8Rng::seed_from_u64(7);
         let policy = policy::Blend { rng, sample: 2, affinity_slack: 0.0 };
         let mut balancer = balancer::Balancer::new(policy, &balancer::Options::default());
         balancer.set_share_of_servers(balancer::Share { number: 0, of: GATEWAYS });
         balancer.set_form(entity::Pool::from_u32(0), FORM);
         let mut restart = Restart { balancer };
-        restart.list(telling, broken(4), at(0));
+        restart.list(reporting, broken(4), at(0));
         for number in 0..3 {
             restart.balancer.connect(rank(number), true, at(0));
             let report = server::Report {
@@ -180,13 +180,13 @@
         restart
     }
 
-    fn list(&mut self, telling: u32, news: Status, now: clock::Instant) -> Vec<balancer::Action> {
+    fn list(&mut self, reporting: u32, news: Status, now: clock::Instant) -> Vec<balancer::Action> {
         let listing = |number: u32| server::Listing {
             host: format!("host{number}").into(),
             born: None,
             pool: entity::Pool::from_u32(0),
             group: Some(entity::Group::from_u32(0)),
-            news: Some(if number < telling { news } else { open(news.epoch - 1) }),
+            news: Some(if number < reporting { news } else { open(news.epoch - 1) }),
             zone: "norte".into(),
             local: true,
             leaving: false,
@@ -218,14 +218,19 @@
     matches!(actions, [balancer::Action::Refuse(_)])
 }
 
-/// All hosts were restarted: callers whose answers broke off come back at once, for
-/// the last time, a moment before the group has formed.
+/// Guards against rejecting clients while a group forms. After a restart of all hosts,
+/// clients whose answers broke off retry at once and for the last time, shortly before
+/// the group has formed.
 #[test]
-fn callers_wait_for_a_group_whose_ranks_are_all_back() {
+fn requests_wait_for_a_group_whose_ranks_are_all_running_again() {
     let mut restart = Restart::new(3);
     let patience = Duration::from_secs(5);
     assert_eq!(restart.arrive(patience, at(100)), []);
-    assert_eq!(restart.arrive(patience, at(800)), [], "also beyond the time for a first event");
+    assert_eq!(
+        restart.arrive(patience, at(800)),
+        [],
+        "also beyond the time limit for the first event"
+    );
     assert_eq!(restart.balancer.tick(at(850)), []);
     let sent = restart.list(3, open(5), at(860));
     assert_eq!(sent.len(), 2);
@@ -234,12 +239,12 @@
 }
 
 #[test]
-fn nobody_waits_without_a_ground_or_in_vain() {
-    // One rank is not back: nothing tells when the group will be.
+fn rejects_requests_if_the_group_does_not_form_in_time() {
+    // One rank is not running, so the time until the group forms is not known.
     assert!(refused(&Restart::new(2).arrive(Duration::from_secs(5), at(100))));
-    // The answer would not come before its deadline.
+    // The answer would miss its deadline.
     assert!(refused(&Restart::new(3).arrive(Duration::from_millis(500), at(100))));
-    // It is overdue: who waits is refused, and so is whoever comes now.
+    // The group is overdue: waiting and new requests are rejected.
     let mut overdue = Restart::new(3);
     assert_eq!(overdue.arrive(Duration::from_secs(5), at(100)), []);
     assert_eq!(overdue.balancer.tick(at(1_300)), []);
@@ -248,13 +253,13 @@
     assert_eq!(overdue.balancer.verify(), Ok(()));
 }
 
-/// A gateway of a zone with ranks of two groups, of which one is broken: the
-/// other one has room for all.
+/// Guards against rejections because the retry budget is empty, at a gateway in a zone
+/// with ranks of two groups. One group is broken; the other one has room for all requests.
 #[test]
-fn callers_beside_a_broken_group_are_not_refused_for_want_of_retries() {
+fn a_broken_group_does_not_exhaust_the_retry_budget_of_its_zone() {
     let rng = ChaCha8Rng::seed_from_u64(7);
     let policy = policy::Blend { rng, sample: 2, affinity_slack: 0.0 };
-    // What each of 42 gateways has of the users' budget.
+    // The share of each of 42 gateways in the users' retry budget.
     let options = balancer::Options::default().charge_full(true).retry_ratio(0.15);
     let mut balancer = balancer::Balancer::new(policy, &options.retry_reserve(4.2));
     balancer.set_share_of_servers(balancer::Share { number: 0, of: GATEWAYS });
@@ -284,8 +289,8 @@
         };
         balancer.report(rank(number), report, at(0));
     }
-    let (mut refused, mut into_the_broken) = (0, 0);
-    // Five callers a second, for the six seconds of a break.
+    let (mut refused, mut sent_to_broken) = (0, 0);
+    // Five requests a second for the six seconds for which the group is broken.
     for step in 0..30 {
         let now = at(1_000 + step * 200);
         let due = now + Duration::from_secs(8);
@@ -309,14 +314,14 @@
                 balancer.end(ticket, balancer::End::Answered, now);
                 break;
             }
-            into_the_broken += 1;
+            sent_to_broken += 1;
             actions = balancer.end(ticket, balancer::End::GroupDown, now);
         }
         refused += usize::from(matches!(actions[..], [balancer::Action::Refuse(_)]));
     }
     assert_eq!(refused, 0);
-    assert!(into_the_broken <= 3, "{into_the_broken}");
-    // Its return is heard of, and it gets requests again.
+    assert!(sent_to_broken <= 3, "{sent_to_broken}");
+    // The gateway receives the update that the group is available, and sends it requests again.
     balancer.list(list(open(2)).collect(), at(8_000));
     let back = balancer.take_notes();
     assert!(back.iter().any(|note| matches!(note, balancer::Note::GroupUp(_, _))), "{back:?}");
--- a/decision/tests/pace.rs
+++ b/decision/tests/pace.rs
@@ -1,5 +1,4 @@
-//! The bound of streams is what fits in time, and the breaker lets one probe at
-//! a time through.
+//! The bound on streams keeps events in time, and the breaker admits one probe at a time.
 
 use std::time::Duration;
 
@@ -10,10 +9,10 @@
 
 const TICK: Duration = Duration::from_millis(50);
 const WANTED: Duration = Duration::from_millis(120);
-/// Steps of 5 ms, 1 ms more for each stream, four to a pass.
+/// Four steps to a pass, each of 5 ms and 1 ms more for each stream.
 const COST: pass::Cost = pass::Cost { step: 0.005, per_stream: 0.001, steps: 4.0 };
 
-/// Gateways before one group of ten ranks, each with a bound of its own.
+/// Gateways that share one group of ten ranks. Each keeps its own bound.
 struct Fleet {
     paces: Vec<Pace>,
     streams: Vec<f64>,
@@ -32,9 +31,9 @@
         self.streams.iter().sum::<f64>() / f64::from(Fleet::RANKS)
     }
 
-    /// Plays some seconds in which each gateway would have so many streams in
-    /// flight, which end after a second and a half.
-    fn play(&mut self, seconds: f64, wanted: &[f64], skew: impl Fn(f64) -> f64) {
+    /// Simulates `seconds` in which each gateway has demand for `wanted` streams in
+    /// flight, each of which ends after a second and a half.
+    fn run(&mut self, seconds: f64, wanted: &[f64], skew: impl Fn(f64) -> f64) {
         let ticks = (seconds / TICK.as_secs_f64()) as u32;
         for _ in 0..ticks {
             self.now = self.now + TICK;
@@ -67,18 +66,18 @@
 }
 
 #[test]
-fn all_are_let_in_while_passes_are_short() {
+fn admits_all_streams_while_passes_are_short() {
     let mut fleet = Fleet::new(4);
-    fleet.play(20.0, &[10.0; 4], |_| 1.2);
+    fleet.run(20.0, &[10.0; 4], |_| 1.2);
     let carried = fleet.streams.iter().sum::<f64>();
     assert!(carried > 38.0, "{carried}");
 }
 
 #[test]
-fn the_group_carries_what_fits_in_time() {
+fn limits_the_streams_to_those_that_fit_in_time() {
     let mut fleet = Fleet::new(4);
-    // With twice the published time, 120 ms fit eight and a half streams a rank.
-    fleet.play(40.0, &[100.0; 4], |_| 2.0);
+    // At twice the published time, eight and a half streams a rank fit in 120 ms.
+    fleet.run(40.0, &[100.0; 4], |_| 2.0);
     let load = fleet.load();
     assert!((6.0..=10.0).contains(&load), "{load}");
     let time = COST.time(load) * 2.0;
@@ -86,10 +85,10 @@
 }
 
 #[test]
-fn gateways_come_to_share_alike() {
+fn shares_of_the_gateways_converge() {
     let mut fleet = Fleet::new(2);
-    fleet.play(10.0, &[200.0, 0.0], |_| 2.0);
-    fleet.play(60.0, &[200.0, 200.0], |_| 2.0);
+    fleet.run(10.0, &[200.0, 0.0], |_| 2.0);
+    fleet.run(60.0, &[200.0, 200.0], |_| 2.0);
     let (first, second) = (fleet.streams[0], fleet.streams[1]);
     assert!(second > first * 0.5, "{first} {second}");
 }
@@ -98,24 +97,24 @@
 fn the_bound_allows_for_the_skew_of_the_last_seconds() {
     let mut fleet = Fleet::new(1);
     for _ in 0..6 {
-        fleet.play(2.5, &[60.0], |_| 1.0);
-        fleet.play(1.5, &[60.0], |_| 2.2);
+        fleet.run(2.5, &[60.0], |_| 1.0);
+        fleet.run(1.5, &[60.0], |_| 2.2);
     }
-    // With a skew of 2.2 no more than 7 a rank fit in time.
-    fleet.play(2.0, &[100.0], |_| 1.0);
+    // With a skew of 2.2, at most 7 streams a rank fit in time.
+    fleet.run(2.0, &[100.0], |_| 1.0);
     assert!(fleet.load() < 8.0, "{}", fleet.load());
 }
 
 #[test]
-fn streams_are_served_late_where_none_can_be_in_time() {
+fn serves_streams_late_if_none_can_be_in_time() {
     let mut fleet = Fleet::new(1);
-    // The slowest rank alone takes a third of a second.
-    fleet.play(20.0, &[100.0], |load| 0.35 / COST.time(load));
+    // The slowest rank takes a third of a second for a pass at any load.
+    fleet.run(20.0, &[100.0], |load| 0.35 / COST.time(load));
     assert!(fleet.load() > 8.0, "{}", fleet.load());
 }
 
 #[test]
-fn a_group_without_events_stands_still() {
+fn a_group_without_events_has_stalled() {
     let mut pace = Pace::default();
     let mut now = Instant::from_millis(1_000);
     pace.record_dispatch(0, now);
@@ -128,7 +127,7 @@
 }
 
 #[test]
-fn a_broken_group_gets_one_probe_at_a_time() {
+fn an_open_breaker_admits_one_probe_at_a_time() {
     let mut breaker = Breaker::default();
     let now = Instant::from_millis(1_000);
     assert!(breaker.admits(now));
@@ -138,7 +137,10 @@
     assert!(breaker.admits(probe));
     breaker.record_dispatch(probe);
     assert!(!breaker.admits(probe + Duration::from_millis(10)));
-    assert!(!breaker.record_refusal(probe + Duration::from_millis(20)), "it was open before");
+    assert!(
+        !breaker.record_refusal(probe + Duration::from_millis(20)),
+        "the breaker was already open"
+    );
     let open = breaker.record_answer(now + Duration::from_secs(3));
     assert_eq!(open, Some(Duration::from_secs(3)));
     breaker.record_dispatch(now + Duration::from_secs(3));
