--- a/decision/src/admission.rs
+++ b/decision/src/admission.rs
@@ -201,7 +201,7 @@
         Ok(displaced)
     }
 
-    /// Queues a waiter whose attempt did not run ahead of the other waiters of its team.
+    /// Queues a waiter whose attempt did not run, ahead of the others of its team.
     pub fn push_front(&mut self, waiter: Waiter) {
         self.insert(waiter, End::Front);
     }
@@ -258,9 +258,9 @@
         queue.first_byte = Some((mean + FIRST_BYTE_GAIN * error, deviation));
     }
 
-    /// Returns how long a request may wait if its answer is to begin by
-    /// `begin_by`. The returned time may already have passed; the request may be
-    /// dispatched immediately all the same.
+    /// Returns the time until which a request may wait if its answer is to begin by
+    /// `begin_by`. If that time has already passed, the request may still be
+    /// dispatched immediately.
     pub fn latest_dispatch(&self, pool: entity::Pool, begin_by: clock::Instant) -> clock::Instant {
         let first_byte = self.pools.get(&pool).and_then(|queue| queue.first_byte);
         let (mean, deviation) = first_byte.unwrap_or_default();
@@ -325,7 +325,7 @@
     }
 
     /// Returns the retry delay of a rejected client, where the pool can serve one
-    /// request each `spacing`, at whichever gateway. Each client gets a different
+    /// request each `spacing`, at any gateway. Each client gets a different
     /// time slot. Once the delay would exceed `MAX_RETRY_AFTER`, slots are
     /// assigned again from now on, so that clients share them.
     pub fn reserve_return(
--- a/decision/src/admission/band.rs
+++ b/decision/src/admission/band.rs
@@ -1,4 +1,4 @@
-//! The waiters of one precedence, scheduled by start-time fair queueing expired teams.
+//! The waiters of one precedence, scheduled by start-time fair queueing over teams.
 
 use std::collections::{BTreeMap, VecDeque};
 
--- a/decision/src/episode.rs
+++ b/decision/src/episode.rs
@@ -29,7 +29,7 @@
     }
 
     /// Returns how much longer the state is expected to last: its mean duration,
-    /// regardless of how long it has duration so far. `None` before the state has
+    /// regardless of how long it has lasted so far. `None` before the state has
     /// ended for the first time.
     pub fn expected_duration(&self) -> Option<Duration> {
         self.mean
--- a/decision/src/outage.rs
+++ b/decision/src/outage.rs
@@ -108,7 +108,7 @@
     forming_since: Option<clock::Instant>,
     /// Time at which the group last became available again.
     available_since: clock::Instant,
-    /// Ranks to which connections have failed since a rank last answered.
+    /// Ranks to which connections have failed since a rank was last reached.
     unreached: BTreeSet<entity::Server>,
 }
 
@@ -198,7 +198,7 @@
     }
 
     /// Returns the expected time until the group is available again if a group takes
-    /// `form` to form. Returns `None` if the group does not yet form or is overdue.
+    /// `form` to form. Returns `None` if the group is not forming yet or is overdue.
     pub fn expected_recovery(&self, form: Duration, now: clock::Instant) -> Option<Duration> {
         let due = self.forming_since? + form + STATUS_DELAY;
         (due > now).then(|| due.since(now))
--- a/decision/tests/outage.rs
+++ b/decision/tests/outage.rs
@@ -214,7 +214,7 @@
     }
 }
 
-fn refused(actions: &[balancer::Action]) -> bool {
+fn is_rejected(actions: &[balancer::Action]) -> bool {
     matches!(actions, [balancer::Action::Refuse(_)])
 }
 
@@ -241,15 +241,15 @@
 #[test]
 fn rejects_requests_if_the_group_does_not_form_in_time() {
     // One rank is not running, so the time until the group forms is not known.
-    assert!(refused(&Restart::new(2).arrive(Duration::from_secs(5), at(100))));
+    assert!(is_rejected(&Restart::new(2).arrive(Duration::from_secs(5), at(100))));
     // The answer would miss its deadline.
-    assert!(refused(&Restart::new(3).arrive(Duration::from_millis(500), at(100))));
+    assert!(is_rejected(&Restart::new(3).arrive(Duration::from_millis(500), at(100))));
     // The group is overdue: waiting and new requests are rejected.
     let mut overdue = Restart::new(3);
     assert_eq!(overdue.arrive(Duration::from_secs(5), at(100)), []);
     assert_eq!(overdue.balancer.tick(at(1_300)), []);
-    assert!(refused(&overdue.balancer.tick(at(1_450))));
-    assert!(refused(&overdue.arrive(Duration::from_secs(5), at(1_460))));
+    assert!(is_rejected(&overdue.balancer.tick(at(1_450))));
+    assert!(is_rejected(&overdue.arrive(Duration::from_secs(5), at(1_460))));
     assert_eq!(overdue.balancer.verify(), Ok(()));
 }
 
@@ -289,7 +289,7 @@
         };
         balancer.report(rank(number), report, at(0));
     }
-    let (mut refused, mut sent_to_broken) = (0, 0);
+    let (mut rejected, mut sent_to_broken) = (0, 0);
     // Five requests a second for the six seconds for which the group is broken.
     for step in 0..30 {
         let now = at(1_000 + step * 200);
@@ -317,9 +317,9 @@
             sent_to_broken += 1;
             actions = balancer.end(ticket, balancer::End::GroupDown, now);
         }
-        refused += usize::from(matches!(actions[..], [balancer::Action::Refuse(_)]));
+        rejected += usize::from(matches!(actions[..], [balancer::Action::Refuse(_)]));
     }
-    assert_eq!(refused, 0);
+    assert_eq!(rejected, 0);
     assert!(sent_to_broken <= 3, "{sent_to_broken}");
     // The gateway receives the update that the group is available, and sends it requests again.
     balancer.list(list(open(2)).collect(), at(8_000));
