--- a/bench/src/capacity.rs
+++ b/bench/src/capacity.rs
@@ -81,7 +81,7 @@
     machine.list((0..servers).map(listing).collect(), now);
     for server in 0..servers {
         let server = entity::Server::from_u32(server);
-        machine.connect(server, true, now);
+        machine.set_connected(server, true, now);
         machine.report(server, report(1), now);
     }
     machine
--- a/bench/src/fleet.rs
+++ b/bench/src/fleet.rs
@@ -199,7 +199,7 @@
         for entry in &mut self.entries {
             entry.list(listings.clone(), now);
             for server in 0..self.plan.servers {
-                entry.connect(entity::Server::from_u32(server as u32), true, now);
+                entry.set_connected(entity::Server::from_u32(server as u32), true, now);
             }
         }
         let first = self.sample();
@@ -368,7 +368,7 @@
     fn notice(&mut self, server: usize, entry: usize) {
         let Some(plan) = &self.plan.shed else { return };
         let server = entity::Server::from_u32(server as u32);
-        let (_, actions) = self.entries[entry].notice(server, &plan.notice(), self.now);
+        let (_, actions) = self.entries[entry].apply_notice(server, &plan.notice(), self.now);
         self.act(entry, actions);
     }
 
--- a/daemon/src/entry/dispatcher.rs
+++ b/daemon/src/entry/dispatcher.rs
@@ -191,7 +191,7 @@
     ) -> Option<notice::Change> {
         let now = self.clock.now();
         let mut inner = self.lock();
-        let (change, actions) = inner.balancer.notice(server, notice, now);
+        let (change, actions) = inner.balancer.apply_notice(server, notice, now);
         inner.route(actions);
         change
     }
@@ -206,7 +206,7 @@
     ) -> Option<rate::Change> {
         let now = self.clock.now();
         let mut inner = self.lock();
-        let (change, actions) = inner.balancer.limit(server, notice, chosen, now);
+        let (change, actions) = inner.balancer.apply_rate_notice(server, notice, chosen, now);
         inner.route(actions);
         change
     }
@@ -215,7 +215,7 @@
     pub fn connect(&self, server: entity::Server, up: bool) {
         let now = self.clock.now();
         let mut inner = self.lock();
-        let actions = inner.balancer.connect(server, up, now);
+        let actions = inner.balancer.set_connected(server, up, now);
         inner.route(actions);
     }
 
--- a/decision/src/balancer.rs
+++ b/decision/src/balancer.rs
@@ -65,9 +65,9 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Tally {
     /// First attempts sent.
-    pub first: u64,
+    pub first_attempts: u64,
     /// Later attempts sent.
-    pub again: u64,
+    pub retries: u64,
     /// Requests refused, or given up, as not run.
     pub not_run: u64,
     /// Requests given up as unknown.
@@ -94,7 +94,7 @@
     peers: limits::Peers,
     /// Suspects that are on backend servers of this gateway's own.
     trials: BTreeMap<entity::Server, poison::Digest>,
-    group_return: Duration,
+    group_retry_after: Duration,
     notes: Vec<Note>,
     /// Backend servers that rest, that have told that they leave, or that name a rate
     /// limit.
@@ -108,7 +108,7 @@
     pub fn new(policy: P, options: &Options) -> Balancer<P> {
         Balancer {
             servers: server::Table::default(),
-            queue: admission::Queue::new(options.capacity, options.shortest_return),
+            queue: admission::Queue::new(options.capacity, options.min_retry_after),
             budget: retry::Budget::new(options.retry_ratio, options.retry_reserve),
             charge_full: options.charge_full,
             policy,
@@ -119,7 +119,7 @@
             share: Share::default(),
             peers: limits::Peers::default(),
             trials: BTreeMap::new(),
-            group_return: options.group_return,
+            group_retry_after: options.group_retry_after,
             notes: Vec::new(),
             noticed: BTreeSet::new(),
             next: 0,
@@ -163,7 +163,7 @@
     }
 
     /// An agent's report stream opened or closed.
-    pub fn connect(
+    pub fn set_connected(
         &mut self,
         server: entity::Server,
         up: bool,
--- a/decision/src/balancer/choose.rs
+++ b/decision/src/balancer/choose.rs
@@ -77,10 +77,10 @@
         }
         self.servers[choice.server].sent(now);
         if pending.attempts == 1 {
-            self.tally.first += 1;
+            self.tally.first_attempts += 1;
             self.budget.deposit();
         } else {
-            self.tally.again += 1;
+            self.tally.retries += 1;
         }
         self.queue.depart(pool, now);
         let attempt = pending.attempts;
--- a/decision/src/balancer/follow.rs
+++ b/decision/src/balancer/follow.rs
@@ -124,7 +124,7 @@
     ) {
         let retry_after = match reason {
             Reason::NoBackend => NO_BACKEND_RETRY,
-            Reason::GroupDown => self.group_return,
+            Reason::GroupDown => self.group_retry_after,
             Reason::Resting(time) => self.queue.retry_after(pool, time),
             Reason::Limited(time) => time,
             _ => self.queue.retry_after(pool, Duration::ZERO),
--- a/decision/src/balancer/group.rs
+++ b/decision/src/balancer/group.rs
@@ -61,7 +61,7 @@
     }
 
     /// Sets how long the pool's groups take to form.
-    pub fn set_form(&mut self, pool: entity::Pool, time: Duration) {
+    pub fn set_form_time(&mut self, pool: entity::Pool, time: Duration) {
         self.forms.insert(pool, time);
     }
 
@@ -94,7 +94,7 @@
     }
 
     /// An answer told how many requests its backend server runs and keeps waiting.
-    pub fn loaded(&mut self, server: entity::Server, requests: u32) {
+    pub fn report_load(&mut self, server: entity::Server, requests: u32) {
         if let Some(group) = self.servers[server].listing.group {
             self.groups[group].pace.report(requests);
         }
@@ -102,7 +102,7 @@
 
     /// An event of a request's stream came after a pause; events are wanted
     /// within `wanted`. The first event of a stream has no pause.
-    pub fn event(
+    pub fn stream_event(
         &mut self,
         ticket: entity::Ticket,
         pause: Duration,
@@ -186,7 +186,7 @@
     }
 
     /// A connection to a rank of a group that was out of reach came about.
-    pub fn reached(&mut self, group: entity::Group, now: clock::Instant) -> Vec<Action> {
+    pub fn group_reached(&mut self, group: entity::Group, now: clock::Instant) -> Vec<Action> {
         let change = self.groups[group].outage.reached(now);
         self.believe(group, change, now);
         self.pump_all(now)
@@ -209,7 +209,7 @@
     }
 
     /// Groups that are out of reach, each with its ranks.
-    pub fn out_of_reach(&self) -> Vec<(entity::Group, Vec<entity::Server>)> {
+    pub fn unreachable_groups(&self) -> Vec<(entity::Group, Vec<entity::Server>)> {
         let unreached = |group: &entity::Group| {
             self.groups[*group].outage.ground() == Some(outage::Ground::Unreached)
         };
--- a/decision/src/balancer/message.rs
+++ b/decision/src/balancer/message.rs
@@ -42,8 +42,8 @@
     pub(super) retry_ratio: f64,
     pub(super) retry_reserve: f64,
     pub(super) charge_full: bool,
-    pub(super) shortest_return: Duration,
-    pub(super) group_return: Duration,
+    pub(super) min_retry_after: Duration,
+    pub(super) group_retry_after: Duration,
 }
 
 impl Default for Options {
@@ -53,8 +53,8 @@
             retry_ratio: 0.1,
             retry_reserve: crate::retry::RESERVE,
             charge_full: false,
-            shortest_return: Duration::from_secs(1),
-            group_return: Duration::from_secs(2),
+            min_retry_after: Duration::from_secs(1),
+            group_retry_after: Duration::from_secs(2),
         }
     }
 }
@@ -87,15 +87,15 @@
     }
 
     /// Shortest time after which a refused caller is told to come back.
-    pub fn shortest_return(mut self, time: Duration) -> Options {
-        self.shortest_return = time;
+    pub fn min_retry_after(mut self, time: Duration) -> Options {
+        self.min_retry_after = time;
         self
     }
 
     /// Time after which a caller is told to come back whose pool's group is
     /// broken.
-    pub fn group_return(mut self, time: Duration) -> Options {
-        self.group_return = time;
+    pub fn group_retry_after(mut self, time: Duration) -> Options {
+        self.group_retry_after = time;
         self
     }
 }
--- a/decision/src/balancer/rate.rs
+++ b/decision/src/balancer/rate.rs
@@ -2,7 +2,7 @@
 //!
 //! Every way to a backend server passes [`server::Record::open`], which asks its
 //! [`rate::Quota`]; what was chosen before the limit was heard is held back by
-//! [`Balancer::wants`].
+//! [`Balancer::still_accepts`].
 
 use std::time::Duration;
 
@@ -26,7 +26,7 @@
 impl<P: policy::Policy> Balancer<P> {
     /// The answer to a request that was chosen for a backend server at `chosen` said
     /// something of the server's rate limit.
-    pub fn limit(
+    pub fn apply_rate_notice(
         &mut self,
         server: entity::Server,
         notice: rate::Notice,
@@ -48,7 +48,7 @@
 
     /// Another gateway found that the rate limit of a run is lifted. Returns for how
     /// long one was in force here, unless it was heard again since.
-    pub fn lift(
+    pub fn lift_limit(
         &mut self,
         host: &str,
         born: Option<u64>,
--- a/decision/src/balancer/rest.rs
+++ b/decision/src/balancer/rest.rs
@@ -1,7 +1,7 @@
 //! What backend servers say of their own near future, and what follows from it.
 //!
 //! Every way to a backend server passes [`server::Record::open`], which asks
-//! its [`notice::Standing`]; [`Balancer::wants`] asks it once more in the last
+//! its [`notice::Standing`]; [`Balancer::still_accepts`] asks it once more in the last
 //! step before anything is sent.
 
 use std::time::Duration;
@@ -16,7 +16,7 @@
 
 impl<P: policy::Policy> Balancer<P> {
     /// An answer of a backend server said something of its own near future.
-    pub fn notice(
+    pub fn apply_notice(
         &mut self,
         server: entity::Server,
         notice: &notice::Notice,
@@ -83,7 +83,7 @@
     /// now. What was chosen before it asked for rest, named a rate limit, left the
     /// list or started again, or before its zone was drained, and waited for a
     /// connection meanwhile, would reach it after that.
-    pub fn wants(
+    pub fn still_accepts(
         &self,
         server: entity::Server,
         chosen: clock::Instant,
@@ -95,7 +95,7 @@
     }
 
     /// Backend servers that rest, and listed ones that have told that they leave.
-    pub fn noticed(&self, now: clock::Instant) -> (usize, usize) {
+    pub fn resting_and_leaving(&self, now: clock::Instant) -> (usize, usize) {
         let records = || self.noticed.iter().map(|server| &self.servers[*server]);
         let resting = records().filter(|record| record.standing.rests(now)).count();
         let leaving = records().filter(|record| record.listed && record.standing.leaving()).count();
@@ -171,10 +171,10 @@
         pending.sent = None;
         pending.group = None;
         if pending.attempts == 0 {
-            self.tally.first -= 1;
+            self.tally.first_attempts -= 1;
             self.budget.take_back();
         } else {
-            self.tally.again -= 1;
+            self.tally.retries -= 1;
         }
         let (arrival, since) = (pending.arrival, pending.since);
         if arrival.deadline <= now {
--- a/decision/src/balancer/verify.rs
+++ b/decision/src/balancer/verify.rs
@@ -26,7 +26,7 @@
             |p: &&Pending, server| p.place == Place::Sent(server) && p.arrival.suspect.is_some();
         for server in self.trials.keys() {
             if self.pending.values().filter(|p| on_trial(p, *server)).count() != 1 {
-                return Err(Fault::Trial(*server));
+                return Err(Fault::Suspect(*server));
             }
         }
         for (id, group) in self.groups.iter() {
@@ -53,7 +53,7 @@
     InFlight(entity::Server),
     /// A backend server that is kept for a suspect runs one.
     #[error("{0} is kept for a suspect that is not there")]
-    Trial(entity::Server),
+    Suspect(entity::Server),
     /// Requests sent to a group are those it has in flight.
     #[error("requests in flight at {0} are miscounted")]
     GroupInFlight(entity::Group),
--- a/decision/tests/balancer.rs
+++ b/decision/tests/balancer.rs
@@ -65,7 +65,7 @@
     let report =
         server::Report { incarnation: 1, sequence, slots: 4, alive: true, ..Default::default() };
     let mut actions = balancer.report(id, report, now);
-    actions.extend(balancer.connect(id, true, now));
+    actions.extend(balancer.set_connected(id, true, now));
     actions
 }
 
@@ -189,7 +189,7 @@
                     up(&mut balancer, server, sequence, now)
                 }
                 Event::Connect(server, up) if (server as usize) < balancer.servers().iter().count() => {
-                    balancer.connect(entity::Server::from_u32(server), up, now)
+                    balancer.set_connected(entity::Server::from_u32(server), up, now)
                 }
                 Event::List(count) => balancer.list(listings(count), now),
                 _ => continue,
--- a/decision/tests/common/mod.rs
+++ b/decision/tests/common/mod.rs
@@ -82,7 +82,7 @@
                 alive: true,
                 ..Default::default()
             };
-            let mut actions = self.balancer.connect(id, true, self.now);
+            let mut actions = self.balancer.set_connected(id, true, self.now);
             actions.extend(self.balancer.report(id, report, self.now));
             self.take(actions);
         }
@@ -98,7 +98,11 @@
         for action in actions {
             match action {
                 balancer::Action::Send(dispatch) => {
-                    assert!(self.balancer.wants(dispatch.choice.server, self.now, self.now));
+                    assert!(self.balancer.still_accepts(
+                        dispatch.choice.server,
+                        self.now,
+                        self.now
+                    ));
                     self.times.push(self.now);
                     self.sent.push((dispatch.ticket, dispatch.choice.server, self.now));
                 }
@@ -137,7 +141,7 @@
 
     /// An answer says something of its server.
     pub fn notice(&mut self, server: entity::Server, notice: &Notice) -> Option<Change> {
-        let (change, actions) = self.balancer.notice(server, notice, self.now);
+        let (change, actions) = self.balancer.apply_notice(server, notice, self.now);
         self.take(actions);
         change
     }
@@ -145,7 +149,7 @@
     /// The answer to a request says something of its server's rate limit.
     pub fn limit(&mut self, ticket: entity::Ticket, notice: rate::Notice) -> Option<rate::Change> {
         let (_, server, sent) = *self.sent.iter().find(|(other, ..)| *other == ticket).unwrap();
-        let (change, actions) = self.balancer.limit(server, notice, sent, self.now);
+        let (change, actions) = self.balancer.apply_rate_notice(server, notice, sent, self.now);
         self.take(actions);
         change
     }
--- a/decision/tests/drained.rs
+++ b/decision/tests/drained.rs
@@ -31,7 +31,7 @@
     for number in 0..4 {
         let id = balancer.servers().find(&format!("server-{number}")).unwrap();
         let report = server::Report { slots: 2, sequence: 1, alive: true, ..Default::default() };
-        actions.extend(balancer.connect(id, true, NOW));
+        actions.extend(balancer.set_connected(id, true, NOW));
         actions.extend(balancer.report(id, report, NOW));
     }
     actions
@@ -88,9 +88,9 @@
     let mut balancer = balancer();
     list(&mut balancer, [false, true]);
     let chosen = entity::Server::from_u32(sent(&arrive(&mut balancer))[0]);
-    assert!(balancer.wants(chosen, NOW, NOW));
+    assert!(balancer.still_accepts(chosen, NOW, NOW));
     list(&mut balancer, [true, false]);
-    assert!(!balancer.wants(chosen, NOW, NOW));
+    assert!(!balancer.still_accepts(chosen, NOW, NOW));
 }
 
 #[test]
--- a/decision/tests/estimates.rs
+++ b/decision/tests/estimates.rs
@@ -52,7 +52,7 @@
             ..Default::default()
         };
         balancer.report(id, report, now);
-        balancer.connect(id, true, now);
+        balancer.set_connected(id, true, now);
         Setup { balancer, now }
     }
 
--- a/decision/tests/groups.rs
+++ b/decision/tests/groups.rs
@@ -40,7 +40,7 @@
         balancer.list((0..groups * RANKS).map(listing).collect(), now);
         for number in 0..groups * RANKS {
             let id = entity::Server::from_u32(number);
-            balancer.connect(id, true, now);
+            balancer.set_connected(id, true, now);
             let report = server::Report {
                 incarnation: 1,
                 sequence: 1,
@@ -140,7 +140,7 @@
         setup.now = setup.now + Duration::from_millis(250);
         for ticket in &tickets {
             let (pause, wanted) = (Duration::from_millis(150), Duration::from_millis(100));
-            setup.balancer.event(*ticket, pause, wanted, setup.now);
+            setup.balancer.stream_event(*ticket, pause, wanted, setup.now);
         }
     }
     let (_, actions) = setup.arrive();
--- a/decision/tests/limited.rs
+++ b/decision/tests/limited.rs
@@ -137,11 +137,11 @@
     let chosen = setup.now;
     setup.pass(50);
     setup.limit(tickets[0], named(1.0));
-    assert!(!setup.balancer.wants(server, chosen, setup.now));
+    assert!(!setup.balancer.still_accepts(server, chosen, setup.now));
     let other = (0..2).map(|n| setup.find(n)).find(|id| *id != server).unwrap();
-    assert!(setup.balancer.wants(other, chosen, setup.now));
+    assert!(setup.balancer.still_accepts(other, chosen, setup.now));
     setup.pass(10_000);
-    assert!(setup.balancer.wants(server, setup.now, setup.now));
+    assert!(setup.balancer.still_accepts(server, setup.now, setup.now));
 }
 
 #[test]
@@ -198,7 +198,7 @@
     let mut setup = Setup::new(&[(0, Some(1))]);
     let server = limited(&mut setup, 0.2);
     setup.pass(1_000);
-    let lift = |setup: &mut Setup, born| setup.balancer.lift("server-0", born, setup.now).0;
+    let lift = |setup: &mut Setup, born| setup.balancer.lift_limit("server-0", born, setup.now).0;
     assert_eq!(lift(&mut setup, Some(1)), None, "it may be older than what was heard");
     setup.pass(1_000);
     assert_eq!(lift(&mut setup, Some(2)), None, "another run's");
--- a/decision/tests/outage.rs
+++ b/decision/tests/outage.rs
@@ -160,11 +160,11 @@
         let policy = policy::Blend { rng, sample: 2, affinity_slack: 0.0 };
         let mut balancer = balancer::Balancer::new(policy, &balancer::Options::default());
         balancer.set_share_of_servers(balancer::Share { number: 0, of: GATEWAYS });
-        balancer.set_form(entity::Pool::from_u32(0), FORM);
+        balancer.set_form_time(entity::Pool::from_u32(0), FORM);
         let mut restart = Restart { balancer };
         restart.list(telling, broken(4), at(0));
         for number in 0..3 {
-            restart.balancer.connect(rank(number), true, at(0));
+            restart.balancer.set_connected(rank(number), true, at(0));
             let report = server::Report {
                 incarnation: 1,
                 sequence: 1,
@@ -271,7 +271,7 @@
         |news: News| (0..20).map(move |n| listing(n, if n % 2 == 0 { open(1) } else { news }));
     balancer.list(list(open(1)).collect(), at(0));
     for number in 0..20 {
-        balancer.connect(rank(number), true, at(0));
+        balancer.set_connected(rank(number), true, at(0));
         let report = server::Report {
             incarnation: 1,
             sequence: 1,
--- a/decision/tests/rest.rs
+++ b/decision/tests/rest.rs
@@ -82,7 +82,7 @@
     }
     setup.list(&[(0, None), (1, None)]);
     setup.pass(2_800);
-    assert!(!setup.balancer.wants(server, setup.now, setup.now));
+    assert!(!setup.balancer.still_accepts(server, setup.now, setup.now));
     // A longer one moves its end.
     assert_eq!(setup.notice(server, &rest(2_000)), None);
     setup.pass(1_900);
@@ -157,10 +157,10 @@
     let server = setup.at(ticket).unwrap();
     let tally = setup.balancer.tally();
     setup.notice(server, &rest(3_000));
-    assert!(!setup.balancer.wants(server, setup.now, setup.now));
+    assert!(!setup.balancer.still_accepts(server, setup.now, setup.now));
     setup.end(ticket, balancer::End::Withheld);
     let other = setup.at(ticket).unwrap();
-    assert!(other != server && setup.balancer.wants(other, setup.now, setup.now));
+    assert!(other != server && setup.balancer.still_accepts(other, setup.now, setup.now));
     assert_eq!(setup.balancer.tally(), tally, "it counts as its first attempt");
     assert_eq!(setup.balancer.servers()[server].in_flight, 0);
     // Where there is no other, it waits for the first that takes requests again.
@@ -402,7 +402,7 @@
                 let (least, most) = model.rests.get(&server).copied().unwrap_or_default();
                 if setup.now < least || model.leaving.contains(&server) {
                     prop_assert!(!record.open(setup.now), "{server} is open");
-                    prop_assert!(!setup.balancer.wants(server, setup.now, setup.now));
+                    prop_assert!(!setup.balancer.still_accepts(server, setup.now, setup.now));
                 }
                 if setup.now >= most {
                     prop_assert!(!record.standing.rests(setup.now), "{server} rests on");
--- a/decision/tests/runs.rs
+++ b/decision/tests/runs.rs
@@ -45,7 +45,7 @@
         };
         self.balancer.list(vec![listing], self.now);
         let server = self.balancer.servers().find("host").unwrap();
-        self.balancer.connect(server, true, self.now);
+        self.balancer.set_connected(server, true, self.now);
         let sequence = self.balancer.servers()[server].report.sequence + 1;
         let report = server::Report {
             incarnation: 1,
--- a/decision/tests/suspects.rs
+++ b/decision/tests/suspects.rs
@@ -41,7 +41,7 @@
     for number in 0..servers {
         let id = balancer.servers().find(&format!("server-{number}")).unwrap();
         let report = server::Report { slots: 8, sequence: 1, alive: true, ..Default::default() };
-        balancer.connect(id, true, NOW);
+        balancer.set_connected(id, true, NOW);
         balancer.report(id, report, NOW);
     }
     balancer
--- a/dispatch/src/lib.rs
+++ b/dispatch/src/lib.rs
@@ -202,7 +202,7 @@
                 continue;
             }
             let load = server::Load { running: 0, waiting: 0, slots: listing.slots };
-            actions.extend(inner.balancer.connect(id, true, now));
+            actions.extend(inner.balancer.set_connected(id, true, now));
             actions.extend(inner.report(id, load, now));
         }
         inner.route(actions);
@@ -217,7 +217,7 @@
     pub fn report(&self, server: entity::Server, load: server::Load) {
         let now = self.now();
         let mut inner = self.lock();
-        inner.balancer.loaded(server, load.running + load.waiting);
+        inner.balancer.report_load(server, load.running + load.waiting);
         let actions = inner.report(server, load, now);
         inner.route(actions);
     }
@@ -233,7 +233,7 @@
     pub fn set_form(&self, pool: &Arc<str>, time: Duration) {
         let mut inner = self.lock();
         let id = inner.pools.intern(pool);
-        inner.balancer.set_form(id, time);
+        inner.balancer.set_form_time(id, time);
     }
 
     /// Sets this gateway's place among those that share the backend servers.
@@ -254,7 +254,7 @@
     pub fn unlist(&self, server: entity::Server) {
         let now = self.now();
         let mut inner = self.lock();
-        let actions = inner.balancer.connect(server, false, now);
+        let actions = inner.balancer.set_connected(server, false, now);
         inner.route(actions);
     }
 
@@ -267,7 +267,7 @@
     ) -> Option<notice::Change> {
         let now = self.now();
         let mut inner = self.lock();
-        let (change, actions) = inner.balancer.notice(server, notice, now);
+        let (change, actions) = inner.balancer.apply_notice(server, notice, now);
         inner.route(actions);
         change
     }
@@ -282,7 +282,7 @@
     ) -> Option<rate::Change> {
         let now = self.now();
         let mut inner = self.lock();
-        let (change, actions) = inner.balancer.limit(server, notice, chosen, now);
+        let (change, actions) = inner.balancer.apply_rate_notice(server, notice, chosen, now);
         inner.route(actions);
         change
     }
@@ -292,7 +292,7 @@
     pub fn lift(&self, run: &fleet::Run) -> Option<Duration> {
         let now = self.now();
         let mut inner = self.lock();
-        let (time, actions) = inner.balancer.lift(&run.id, run.born, now);
+        let (time, actions) = inner.balancer.lift_limit(&run.id, run.born, now);
         inner.route(actions);
         time
     }
@@ -309,12 +309,12 @@
 
     /// Whether a backend server that was chosen then still wants what is to be sent now.
     pub fn wants(&self, server: entity::Server, chosen: clock::Instant) -> bool {
-        self.lock().balancer.wants(server, chosen, self.now())
+        self.lock().balancer.still_accepts(server, chosen, self.now())
     }
 
     /// Backend servers that rest, and listed ones that have told that they leave.
     pub fn noticed(&self) -> (usize, usize) {
-        self.lock().balancer.noticed(self.now())
+        self.lock().balancer.resting_and_leaving(self.now())
     }
 
     /// Waits until it is uncertain of some backend servers whether they leave; returns
@@ -369,7 +369,7 @@
     pub fn reached(&self, group: entity::Group) {
         let now = self.now();
         let mut inner = self.lock();
-        let actions = inner.balancer.reached(group, now);
+        let actions = inner.balancer.group_reached(group, now);
         inner.route(actions);
     }
 
@@ -417,7 +417,7 @@
     fn event(&self, ticket: entity::Ticket, pause: Duration, wanted: Duration) {
         let now = self.now();
         let mut inner = self.lock();
-        let actions = inner.balancer.event(ticket, pause, wanted, now);
+        let actions = inner.balancer.stream_event(ticket, pause, wanted, now);
         inner.route(actions);
     }
 
@@ -495,7 +495,7 @@
     }
 
     fn out_of_reach(&self) -> Vec<(entity::Group, Vec<T>)> {
-        let groups = self.balancer.out_of_reach().into_iter();
+        let groups = self.balancer.unreachable_groups().into_iter();
         let targets = |ranks: Vec<entity::Server>| {
             ranks.iter().filter_map(|rank| self.targets.get(rank).cloned()).collect()
         };
--- a/gateway/src/state.rs
+++ b/gateway/src/state.rs
@@ -71,8 +71,8 @@
             .retry_ratio(ratio)
             .retry_reserve(0.0)
             .charge_full(true)
-            .shortest_return(SHORTEST_RETURN)
-            .group_return(GROUP_RETURN);
+            .min_retry_after(SHORTEST_RETURN)
+            .group_retry_after(GROUP_RETURN);
         let life = drain::Life::new(settings.serving.max_descriptors);
         Gateway {
             settings,
