--- a/decision/src/balancer.rs
+++ b/decision/src/balancer.rs
@@ -1,12 +1,20 @@
-//! One entry host's decisions about its requests.
+//! The request scheduler of one entry host.
 //!
-//! Joins admission, routing, windows and retries: a request arrives, waits if
-//! no backend server is open, is sent, and ends; each event returns the
-//! actions that follow from it. The machine is owned by one lock in the daemon
-//! and takes microseconds a call.
+//! Combines admission, routing, concurrency windows and retries. A request arrives,
+//! waits in the queue while no backend server is open, is dispatched, and ends. Each
+//! event returns the actions that the caller must carry out. [`Balancer`] is a state
+//! machine without I/O. The daemon keeps it behind one lock; a call takes microseconds.
+//!
+//! Terms used in this module:
+//!
+//! - A *run* of a backend server is one start of its process; its host id outlives it.
+//! - A *rest* is a period in which a backend server has asked for no requests.
+//! - A *suspect* is a request that may have ended a backend server, see [`crate::poison`].
+//! - A *group* is a set of backend servers that run in lock-step; each member is a *rank*.
+//! - A *share* is the number of this gateway among those that use the same backend servers.
 
 mod choose;
-mod follow;
+mod failure;
 mod group;
 mod message;
 mod rate;
@@ -28,55 +36,61 @@
 use crate::routing::{policy, rate as limits, server};
 use crate::{admission, clock, entity, pass, poison, retry};
 
-/// Score from which an open backend server of the own availability zone
-/// counts as loaded, so that others are looked at.
+/// Minimum score at which the local availability zone counts as loaded, so that backend
+/// servers of other zones are considered.
 const SPILL_SCORE: f64 = 0.9;
-/// How much less loaded another zone's backend server must be to be chosen.
+/// Minimum difference in score by which a backend server of another zone must be less
+/// loaded to be selected.
 const SPILL_MARGIN: f64 = 0.25;
-/// When a caller should come back where a pool has no backend server.
+/// Retry delay sent to clients of a pool that has no usable backend server.
 const NO_BACKEND_RETRY: Duration = Duration::from_secs(2);
 
-/// A request between arrival and final answer.
+/// A request that has arrived and has no final answer yet.
 #[derive(Debug, Clone)]
 struct Pending {
     arrival: Arrival,
     since: clock::Instant,
     attempts: u32,
-    /// Attempts that failed for another cause than a want of slots.
+    /// Failed attempts, without those rejected because no slot was free.
     failures: u32,
-    /// Of these, those that ran or may have.
+    /// Failed attempts that ran or may have run.
     runs: u32,
-    place: Place,
-    /// Group that the present attempt was sent to.
+    state: State,
+    /// Group of the backend server that runs the current attempt.
     group: Option<entity::Group>,
-    /// When the present attempt was sent.
+    /// Time at which the current attempt was dispatched.
     sent: Option<clock::Instant>,
+    /// Backend servers that attempts were dispatched to.
     tried: Vec<entity::Server>,
+    /// Whether an answer has begun.
     begun: bool,
 }
 
+/// The state of a pending request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Place {
+enum State {
+    /// The request waits in the queue.
     Waiting,
+    /// An attempt is in flight at a backend server.
     Sent(entity::Server),
 }
 
-/// Counts of what was done, for metrics and benches.
+/// Counters for metrics and benchmarks.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Tally {
-    /// First attempts sent.
+    /// First attempts dispatched.
     pub first_attempts: u64,
-    /// Later attempts sent.
+    /// Second and later attempts dispatched.
     pub retries: u64,
-    /// Requests refused, or given up, as not run.
+    /// Requests rejected with [`Outcome::NotRun`].
     pub not_run: u64,
-    /// Requests given up as unknown.
+    /// Requests rejected with [`Outcome::Unknown`].
     pub unknown: u64,
-    /// Requests answered whole.
+    /// Requests with a complete answer.
     pub answered: u64,
 }
 
-/// The machine.
+/// The state machine that schedules the requests of one entry host.
 #[derive(Debug)]
 pub struct Balancer<P> {
     servers: server::Table,
@@ -87,24 +101,23 @@
     pending: BTreeMap<entity::Ticket, Pending>,
     groups: SecondaryMap<entity::Group, group::Group>,
     costs: BTreeMap<entity::Pool, pass::Cost>,
-    /// How long the groups of a pool take to form, where that is published.
-    forms: BTreeMap<entity::Pool, Duration>,
+    /// Time that the groups of a pool take to form, where it is published.
+    form_times: BTreeMap<entity::Pool, Duration>,
     share: Share,
-    /// The gateways that share the rate limits of backend servers.
+    /// Gateways that share the rate limits of the backend servers.
     peers: limits::Peers,
-    /// Suspects that are on backend servers of this gateway's own.
-    trials: BTreeMap<entity::Server, poison::Digest>,
+    /// Suspects in flight, by the backend server that runs them.
+    suspects: BTreeMap<entity::Server, poison::Digest>,
     group_retry_after: Duration,
     notes: Vec<Note>,
-    /// Backend servers that rest, that have told that they leave, or that name a rate
-    /// limit.
+    /// Backend servers that rest, have announced that they leave, or have a rate limit.
     noticed: BTreeSet<entity::Server>,
     next: u32,
     tally: Tally,
 }
 
 impl<P: policy::Policy> Balancer<P> {
-    /// A machine without backend servers.
+    /// Creates a balancer without backend servers.
     pub fn new(policy: P, options: &Options) -> Balancer<P> {
         Balancer {
             servers: server::Table::default(),
@@ -115,10 +128,10 @@
             pending: BTreeMap::new(),
             groups: SecondaryMap::new(),
             costs: BTreeMap::new(),
-            forms: BTreeMap::new(),
+            form_times: BTreeMap::new(),
             share: Share::default(),
             peers: limits::Peers::default(),
-            trials: BTreeMap::new(),
+            suspects: BTreeMap::new(),
             group_retry_after: options.group_retry_after,
             notes: Vec::new(),
             noticed: BTreeSet::new(),
@@ -127,42 +140,42 @@
         }
     }
 
-    /// The backend servers.
+    /// Returns the table of backend servers.
     pub fn servers(&self) -> &server::Table {
         &self.servers
     }
 
-    /// The waiting requests.
+    /// Returns the queue of waiting requests.
     pub fn queue(&self) -> &admission::Queue {
         &self.queue
     }
 
-    /// Counts so far.
+    /// Returns the counters.
     pub fn tally(&self) -> Tally {
         self.tally
     }
 
-    /// Sets how many retries may be saved up.
+    /// Sets the maximum number of retries that the budget accumulates.
     pub fn set_reserve(&mut self, reserve: f64) {
         self.budget.set_reserve(reserve);
     }
 
-    /// Sets what a team may do.
+    /// Sets the weight and the request limit of a team.
     pub fn set_share(&mut self, team: entity::Team, share: admission::Share) {
         self.queue.set_share(team, share);
     }
 
-    /// Takes a new host list.
+    /// Applies a new host list.
     pub fn list(&mut self, listings: Vec<server::Listing>, now: clock::Instant) -> Vec<Action> {
         for (server, unsettled) in self.servers.list(listings, now) {
             self.note_inherited(server, unsettled, now);
         }
         self.servers.warm_up(self.share, now);
-        self.hear(now);
-        self.pump_all(now)
+        self.apply_group_reports(now);
+        self.dispatch_all_waiting(now)
     }
 
-    /// An agent's report stream opened or closed.
+    /// Records whether an agent's report stream is open.
     pub fn set_connected(
         &mut self,
         server: entity::Server,
@@ -170,10 +183,10 @@
         now: clock::Instant,
     ) -> Vec<Action> {
         self.servers[server].connected = up;
-        self.pump_all(now)
+        self.dispatch_all_waiting(now)
     }
 
-    /// An agent reported.
+    /// Applies an agent's load report. An outdated report is ignored.
     pub fn report(
         &mut self,
         server: entity::Server,
@@ -184,12 +197,12 @@
             return Vec::new();
         }
         let mut actions = Vec::new();
-        self.pump(self.servers[server].listing.pool, now, &mut actions);
+        self.dispatch_waiting(self.servers[server].listing.pool, now, &mut actions);
         actions
     }
 
-    /// A request arrived. Returns its ticket, and the actions that follow,
-    /// which may concern other requests too.
+    /// Accepts a request. Returns its ticket and the resulting actions, which may concern
+    /// other requests too.
     pub fn arrive(
         &mut self,
         arrival: Arrival,
@@ -200,28 +213,28 @@
         self.next = self.next.wrapping_add(1) & (u32::MAX >> 1);
         let mut actions = Vec::new();
         if let Err(refusal) = self.queue.hold(arrival.team) {
-            self.refuse_new(ticket, &arrival, Reason::Admission(refusal), &mut actions);
+            self.reject_new(ticket, &arrival, Reason::Admission(refusal), &mut actions);
             return (ticket, actions);
         }
         if let Err(reason) = self.admit(ticket, arrival, now, &mut actions) {
             self.queue.release(arrival.team);
-            self.refuse_new(ticket, &arrival, reason, &mut actions);
+            self.reject_new(ticket, &arrival, reason, &mut actions);
             return (ticket, actions);
         }
-        self.pump(arrival.pool, now, &mut actions);
-        self.refuse_hopeless(ticket, &arrival, now, &mut actions);
+        self.dispatch_waiting(arrival.pool, now, &mut actions);
+        self.reject_expired(ticket, &arrival, now, &mut actions);
         (ticket, actions)
     }
 
-    /// Refuses a newcomer at once that found no room and may not wait.
-    fn refuse_hopeless(
+    /// Rejects a new request immediately if it was not dispatched and may not wait.
+    fn reject_expired(
         &mut self,
         ticket: entity::Ticket,
         arrival: &Arrival,
         now: clock::Instant,
         actions: &mut Vec<Action>,
     ) {
-        let pending = self.pending.get(&ticket).filter(|p| p.place == Place::Waiting);
+        let pending = self.pending.get(&ticket).filter(|p| p.state == State::Waiting);
         let waits = pending.is_some();
         let full = waits && arrival.suspect.is_none();
         let full = full || self.closed_until(arrival.pool, now).is_some();
@@ -229,7 +242,7 @@
         self.queue.set_full(arrival.pool, full, now);
         if waits && waiter.expires <= now && self.queue.remove(&waiter) {
             let reason = Reason::Admission(admission::Refusal::Deadline);
-            self.give_up(ticket, Outcome::NotRun, reason, actions);
+            self.reject_pending(ticket, Outcome::NotRun, reason, actions);
         }
     }
 
@@ -245,12 +258,13 @@
         }
         let mut arrival = arrival;
         if arrival.suspect.is_some() {
-            // It waits for its turn, which is better than to be refused.
+            // A suspect may have to wait for a backend server of this gateway. A late
+            // answer is better than a rejection.
             arrival.begin_by = None;
         }
-        if self.all_down(arrival.pool, now) {
-            let until = self.held_until(&arrival, now).ok_or(Reason::GroupDown)?;
-            // Its answer begins late in any case.
+        if self.all_unavailable(arrival.pool, now) {
+            let until = self.wait_limit(&arrival, now).ok_or(Reason::GroupDown)?;
+            // The answer begins late in any case.
             arrival.begin_by = None;
             arrival.expires = arrival.expires.min(until);
         }
@@ -263,7 +277,7 @@
             attempts: 0,
             failures: 0,
             runs: 0,
-            place: Place::Waiting,
+            state: State::Waiting,
             group: None,
             sent: None,
             tried: Vec::new(),
@@ -272,13 +286,13 @@
         self.pending.insert(ticket, pending);
         if let Some(loser) = displaced {
             let reason = Reason::Admission(admission::Refusal::QueueFull);
-            self.give_up(loser.ticket, Outcome::NotRun, reason, actions);
+            self.reject_pending(loser.ticket, Outcome::NotRun, reason, actions);
         }
         Ok(())
     }
 
-    /// Drops the estimate of how long answers take where it alone would reject a request
-    /// and none is in flight: no answer would ever correct it.
+    /// Discards the estimate of the answer time if only the estimate would reject a request
+    /// and no request is in flight. Otherwise no answer would ever correct it.
     fn drop_stale_estimate(&mut self, waiter: &admission::Waiter, now: clock::Instant) {
         let refused = now < waiter.deadline && self.queue.too_late(waiter, now);
         let idle = || self.servers.usable(waiter.pool).all(|(_, record)| record.in_flight == 0);
@@ -287,14 +301,14 @@
         }
     }
 
-    /// The first part of an attempt's answer came.
+    /// Records that the answer to an attempt began, `after` its dispatch.
     pub fn begin(&mut self, ticket: entity::Ticket, after: Duration, now: clock::Instant) {
         let Some(pending) = self.pending.get_mut(&ticket) else { return };
         pending.begun = true;
-        let (place, group, sent) = (pending.place, pending.group, pending.sent);
+        let (state, group, sent) = (pending.state, pending.group, pending.sent);
         let pool = pending.arrival.pool;
-        self.group_answers(group, sent, now);
-        let Place::Sent(server) = place else { return };
+        self.group_answered(group, sent, now);
+        let State::Sent(server) = state else { return };
         if let Some(sent) = sent {
             self.queue.begun(pool, now.since(sent));
             self.servers[server].standing.answers(sent);
@@ -305,28 +319,28 @@
         }
     }
 
-    /// An attempt ended.
+    /// Records the end of an attempt. Retries or rejects the request if it has no answer.
     pub fn end(&mut self, ticket: entity::Ticket, end: End, now: clock::Instant) -> Vec<Action> {
         let mut actions = Vec::new();
         let Some(pending) = self.pending.get(&ticket) else { return actions };
         let pool = pending.arrival.pool;
         let (sent, group, begun) = (pending.sent, pending.group, pending.begun);
-        match pending.place {
-            Place::Sent(server) => {
+        match pending.state {
+            State::Sent(server) => {
                 if pending.arrival.suspect.is_some() {
-                    self.trials.remove(&server);
+                    self.suspects.remove(&server);
                 }
-                self.leave(server, end, sent, now);
-                self.leave_group(group);
+                self.record_end(server, end, sent, now);
+                self.release_group(group);
             }
-            Place::Waiting => {
+            State::Waiting => {
                 let waiter = self.waiter(ticket, &pending.arrival, pending.since);
                 self.queue.remove(&waiter);
             }
         }
         match end {
             End::Answered => {
-                self.group_answers(group, sent, now);
+                self.group_answered(group, sent, now);
                 self.tally.answered += 1;
                 if let Some(sent) = sent {
                     self.queue.served(pool, now.since(sent));
@@ -339,41 +353,54 @@
             End::Abandoned => {
                 self.finish(ticket);
             }
-            End::Full => self.wait_again(ticket, now, &mut actions),
-            End::Withheld => self.take_back(ticket, now, &mut actions),
+            End::Full => self.requeue(ticket, now, &mut actions),
+            End::Withheld => self.undo_dispatch(ticket, now, &mut actions),
             End::NeverRan => {
-                self.follow(ticket, retry::Knowledge::NeverRan, false, now, &mut actions);
+                self.retry_or_reject(ticket, retry::Knowledge::NeverRan, false, now, &mut actions);
             }
-            End::Unreachable => self.follow_never_ran(ticket, pool, now, &mut actions),
+            End::Unreachable => self.retry_after_outage(ticket, pool, now, &mut actions),
             End::GroupDown => {
-                self.group_refuses(group, sent, now);
-                self.follow_never_ran(ticket, pool, now, &mut actions);
+                self.group_refused(group, sent, now);
+                self.retry_after_outage(ticket, pool, now, &mut actions);
             }
             End::ServerEnded => {
-                self.follow(ticket, retry::Knowledge::ServerEnded, false, now, &mut actions);
+                self.retry_or_reject(
+                    ticket,
+                    retry::Knowledge::ServerEnded,
+                    false,
+                    now,
+                    &mut actions,
+                );
             }
             End::MayHaveRun { answer_begun } => {
-                self.follow(ticket, retry::Knowledge::MayHaveRun, answer_begun, now, &mut actions);
+                self.retry_or_reject(
+                    ticket,
+                    retry::Knowledge::MayHaveRun,
+                    answer_begun,
+                    now,
+                    &mut actions,
+                );
             }
         }
-        self.pump(pool, now, &mut actions);
+        self.dispatch_waiting(pool, now, &mut actions);
         actions
     }
 
-    /// Time passed: requests that can no longer make their deadline get their answer.
+    /// Advances time: rejects waiting requests that can no longer meet their deadline and
+    /// dispatches those that can be dispatched now.
     pub fn tick(&mut self, now: clock::Instant) -> Vec<Action> {
         self.note_rested(now);
         let mut actions = Vec::new();
         for late in self.queue.sweep(now) {
             let reason = Reason::Admission(admission::Refusal::Deadline);
-            self.give_up(late.ticket, Outcome::NotRun, reason, &mut actions);
+            self.reject_pending(late.ticket, Outcome::NotRun, reason, &mut actions);
         }
-        actions.extend(self.pump_all(now));
+        actions.extend(self.dispatch_all_waiting(now));
         actions
     }
 
-    /// Accounts for an attempt that left a backend server.
-    fn leave(
+    /// Updates the record of a backend server after an attempt on it has ended.
+    fn record_end(
         &mut self,
         server: entity::Server,
         end: End,
@@ -412,46 +439,56 @@
         record.in_flight = record.in_flight.saturating_sub(1);
     }
 
-    fn pump_all(&mut self, now: clock::Instant) -> Vec<Action> {
+    fn dispatch_all_waiting(&mut self, now: clock::Instant) -> Vec<Action> {
         let mut actions = Vec::new();
         for pool in self.queue.waited_for() {
-            self.pump(pool, now, &mut actions);
+            self.dispatch_waiting(pool, now, &mut actions);
         }
         actions
     }
 
-    /// Sends waiters while backend servers are open.
-    fn pump(&mut self, pool: entity::Pool, now: clock::Instant, actions: &mut Vec<Action>) {
-        let mut held = Vec::new();
+    /// Dispatches waiting requests of a pool while backend servers are open.
+    fn dispatch_waiting(
+        &mut self,
+        pool: entity::Pool,
+        now: clock::Instant,
+        actions: &mut Vec<Action>,
+    ) {
+        let mut deferred = Vec::new();
         while self.queue.waiting_for(pool) > 0 {
-            if !self.servers.usable(pool).any(|(_, record)| self.takes(record, now)) {
+            if !self.servers.usable(pool).any(|(_, record)| self.can_accept(record, now)) {
                 break;
             }
             let Some(next) = self.queue.pop(pool) else { break };
             if self.queue.too_late(&next, now) {
                 let reason = Reason::Admission(admission::Refusal::Deadline);
-                self.give_up(next.ticket, Outcome::NotRun, reason, actions);
+                self.reject_pending(next.ticket, Outcome::NotRun, reason, actions);
                 continue;
             }
-            if !self.has_place(next.ticket, now) {
-                held.push(next);
+            if !self.can_dispatch(next.ticket, now) {
+                deferred.push(next);
                 continue;
             }
             self.send(next.ticket, now, actions);
         }
-        held.into_iter().rev().for_each(|waiter| self.queue.push_front(waiter));
+        deferred.into_iter().rev().for_each(|waiter| self.queue.push_front(waiter));
         if self.queue.waiting_for(pool) > 0 {
-            self.refuse_closed(pool, now, actions);
+            self.reject_while_closed(pool, now, actions);
         }
         if self.queue.waiting_for(pool) > 0 && self.servers.usable(pool).next().is_none() {
-            self.drain(pool, Reason::NoBackend, actions);
+            self.reject_all_waiting(pool, Reason::NoBackend, actions);
         }
     }
 
-    /// A pool that cannot serve keeps nobody waiting.
-    fn drain(&mut self, pool: entity::Pool, reason: Reason, actions: &mut Vec<Action>) {
+    /// Rejects all waiting requests of a pool that cannot serve them.
+    fn reject_all_waiting(
+        &mut self,
+        pool: entity::Pool,
+        reason: Reason,
+        actions: &mut Vec<Action>,
+    ) {
         while let Some(next) = self.queue.pop(pool) {
-            self.give_up(next.ticket, Outcome::NotRun, reason, actions);
+            self.reject_pending(next.ticket, Outcome::NotRun, reason, actions);
         }
     }
 
--- a/decision/src/balancer/choose.rs
+++ b/decision/src/balancer/choose.rs
@@ -1,49 +1,55 @@
-//! Which backend server the balancer sends a request to, and which it takes out.
+//! Selection of a backend server for a request, and ejection of failing ones.
 
-use crate::balancer::{Action, Balancer, Candidate, Dispatch, Place, SPILL_MARGIN, SPILL_SCORE};
+use crate::balancer::{Action, Balancer, Candidate, Dispatch, SPILL_MARGIN, SPILL_SCORE, State};
 use crate::routing::{eject, policy, server};
 use crate::{clock, entity};
 
 impl<P: policy::Policy> Balancer<P> {
-    /// Open backend servers: those of the own zone, unless they are all
-    /// loaded and others are clearly less so.
+    /// Returns the open backend servers of the local zone. Returns those of other zones if
+    /// none is open locally, or if all local ones are loaded and another zone has a clearly
+    /// less loaded one.
     ///
-    /// Those that have failed the request before are left out while there are
-    /// others, wherever these are.
-    fn open(
+    /// Backend servers that have failed the request before are excluded while others are
+    /// open in any zone.
+    fn open_servers(
         &self,
         pool: entity::Pool,
         tried: &[entity::Server],
         now: clock::Instant,
     ) -> Vec<Candidate> {
-        let takes = |server: entity::Server| self.takes(&self.servers[server], now);
-        let free = |server: entity::Server| !self.on_trial(server);
-        // A backend server on which a suspect runs gets nothing else.
-        let kept = !self.trials.is_empty()
-            && self.servers.usable(pool).any(|(server, _)| takes(server) && free(server));
-        let open = || {
-            self.servers
+        let can_accept = |server: entity::Server| self.can_accept(&self.servers[server], now);
+        let without_suspect = |server: entity::Server| !self.runs_suspect(server);
+        // A backend server that runs a suspect gets no other request while others are open.
+        let avoid_suspects = !self.suspects.is_empty()
+            && self
+                .servers
                 .usable(pool)
-                .filter(|(server, _)| takes(*server) && (!kept || free(*server)))
+                .any(|(server, _)| can_accept(server) && without_suspect(server));
+        let open = || {
+            self.servers.usable(pool).filter(|(server, _)| {
+                can_accept(*server) && (!avoid_suspects || without_suspect(*server))
+            })
         };
         let fresh = open().any(|(server, _)| !tried.contains(&server));
         let open = open().filter(|(server, _)| !fresh || !tried.contains(server));
         let (local, remote): (Vec<_>, Vec<_>) =
             open.map(|(server, _)| server).partition(|server| self.servers[*server].listing.local);
-        let (local, remote) = (self.weigh(&local, now), self.weigh(&remote, now));
+        let (local, remote) = (self.with_scores(&local, now), self.with_scores(&remote, now));
         let least = |list: &[Candidate]| {
             list.iter().map(|candidate| candidate.score).fold(f64::INFINITY, f64::min)
         };
-        let (at_home, abroad) = (least(&local), least(&remote));
-        let spill = at_home >= SPILL_SCORE && abroad + SPILL_MARGIN < at_home;
+        let (least_local, least_remote) = (least(&local), least(&remote));
+        let spill = least_local >= SPILL_SCORE && least_remote + SPILL_MARGIN < least_local;
         if local.is_empty() || spill { remote } else { local }
     }
 
-    fn weigh(&self, servers: &[entity::Server], now: clock::Instant) -> Vec<Candidate> {
+    /// Pairs each backend server with its current score.
+    fn with_scores(&self, servers: &[entity::Server], now: clock::Instant) -> Vec<Candidate> {
         let score = |server: &entity::Server| self.servers[*server].score(now);
         servers.iter().map(|server| Candidate { server: *server, score: score(server) }).collect()
     }
 
+    /// Dispatches a waiting request to a backend server that the policy selects.
     pub(super) fn send(
         &mut self,
         ticket: entity::Ticket,
@@ -53,8 +59,8 @@
         let Some(pending) = self.pending.get(&ticket) else { return };
         let (pool, suspect) = (pending.arrival.pool, pending.arrival.suspect);
         let considered = match suspect {
-            Some(digest) => self.weigh(&self.open_apart(pending, digest, now), now),
-            None => self.open(pool, &pending.tried, now),
+            Some(digest) => self.with_scores(&self.open_for_suspect(pending, digest, now), now),
+            None => self.open_servers(pool, &pending.tried, now),
         };
         let passed_over = self.passed_over(pool, now);
         let candidates: Vec<entity::Server> = considered.iter().map(|c| c.server).collect();
@@ -65,15 +71,15 @@
         };
         if let Some(digest) = suspect {
             choice.reason = policy::Reason::Apart;
-            self.trials.insert(choice.server, digest);
+            self.suspects.insert(choice.server, digest);
         }
         pending.attempts += 1;
-        pending.place = Place::Sent(choice.server);
+        pending.state = State::Sent(choice.server);
         pending.sent = Some(now);
         pending.tried.push(choice.server);
         pending.group = self.servers[choice.server].listing.group;
         if let Some(group) = pending.group {
-            self.groups[group].enter(now);
+            self.groups[group].record_sent(now);
         }
         self.servers[choice.server].sent(now);
         if pending.attempts == 1 {
@@ -88,6 +94,8 @@
         actions.push(Action::Send(dispatch));
     }
 
+    /// Returns whether a backend server answers slower than the median of its pool by more
+    /// than [`eject::SLOW_FACTOR`]. Fewer than three measured servers give no median.
     pub(super) fn slow(&self, server: entity::Server) -> bool {
         let pool = self.servers[server].listing.pool;
         let mut paces: Vec<f64> =
@@ -101,10 +109,12 @@
         paces.len() >= 3 && own > median * eject::SLOW_FACTOR
     }
 
+    /// Ejects a backend server unless too few of its pool would stay in use.
     pub(super) fn try_eject(&mut self, server: entity::Server, now: clock::Instant) {
         let pool = self.servers[server].listing.pool;
         let usable: Vec<_> = self.servers.usable(pool).collect();
-        // One that rests is out by its own word; the floor is for what is left.
+        // A resting backend server has excluded itself. It counts as ejected for the floor,
+        // which is the minimum part of the pool that stays in use.
         let is_out =
             |record: &server::Record| record.health.ejected(now) || record.standing.rests(now);
         let out = usable.iter().filter(|(_, record)| is_out(record)).count();
--- a/decision/src/balancer/follow.rs
+++ b/decision/src/balancer/failure.rs
@@ -1,17 +1,18 @@
-//! What follows an attempt that failed, and final answers without one.
+//! Retries after failed attempts, and rejections of requests.
 
 use std::time::Duration;
 
-use crate::balancer::{Action, Arrival, Balancer, NO_BACKEND_RETRY, Outcome, Pending, Place};
+use crate::balancer::{Action, Arrival, Balancer, NO_BACKEND_RETRY, Outcome, Pending, State};
 use crate::balancer::{Reason, Refusal};
 use crate::routing::policy;
 use crate::{admission, clock, entity, retry};
 
 impl<P: policy::Policy> Balancer<P> {
-    /// Lets a request wait again that found no slot. It never ran, so its
-    /// attempts are not charged, and the budget only where the options say so:
-    /// the backend server is shut for a while instead.
-    pub(super) fn wait_again(
+    /// Puts a request that found no slot back into the queue. It never ran, so it does not
+    /// count as a failed attempt. The retry budget is charged only if
+    /// [`Options::charge_full`](crate::balancer::Options::charge_full) is set. Instead, the
+    /// backend server gets no requests for a short time.
+    pub(super) fn requeue(
         &mut self,
         ticket: entity::Ticket,
         now: clock::Instant,
@@ -20,39 +21,41 @@
         let Some(pending) = self.pending.get_mut(&ticket) else { return };
         if pending.arrival.deadline <= now {
             let reason = Reason::Admission(admission::Refusal::Deadline);
-            return self.give_up(ticket, Outcome::NotRun, reason, actions);
+            return self.reject_pending(ticket, Outcome::NotRun, reason, actions);
         }
         if self.charge_full && !self.budget.withdraw() {
-            return self.give_up(ticket, Outcome::NotRun, Reason::Budget, actions);
+            return self.reject_pending(ticket, Outcome::NotRun, Reason::Budget, actions);
         }
-        pending.place = Place::Waiting;
+        pending.state = State::Waiting;
         pending.tried.clear();
         let (arrival, since) = (pending.arrival, pending.since);
         let waiter = self.waiter(ticket, &arrival, since);
         self.queue.push_front(waiter);
     }
 
-    /// Sends a request again that did not run for an outage, unless that leaves
-    /// nobody who could serve its pool.
-    pub(super) fn follow_never_ran(
+    /// Retries a request that did not run because a server or its group is unavailable.
+    /// Rejects it if all groups of the pool are unavailable, and then also all waiting
+    /// requests of the pool if no recovery is expected.
+    pub(super) fn retry_after_outage(
         &mut self,
         ticket: entity::Ticket,
         pool: entity::Pool,
         now: clock::Instant,
         actions: &mut Vec<Action>,
     ) {
-        if self.all_down(pool, now) {
-            self.give_up(ticket, Outcome::NotRun, Reason::GroupDown, actions);
-            if self.expected(pool, now).is_none() {
-                self.drain(pool, Reason::GroupDown, actions);
+        if self.all_unavailable(pool, now) {
+            self.reject_pending(ticket, Outcome::NotRun, Reason::GroupDown, actions);
+            if self.expected_recovery(pool, now).is_none() {
+                self.reject_all_waiting(pool, Reason::GroupDown, actions);
             }
         } else {
-            self.follow(ticket, retry::Knowledge::NeverRan, false, now, actions);
+            self.retry_or_reject(ticket, retry::Knowledge::NeverRan, false, now, actions);
         }
     }
 
-    /// Sends a failed request again, or gives it up.
-    pub(super) fn follow(
+    /// Puts a failed request back into the queue if a retry is safe and within its limits,
+    /// and rejects it otherwise.
+    pub(super) fn retry_or_reject(
         &mut self,
         ticket: entity::Ticket,
         knowledge: retry::Knowledge,
@@ -82,16 +85,17 @@
         } else if !self.budget.withdraw() {
             Reason::Budget
         } else {
-            pending.place = Place::Waiting;
+            pending.state = State::Waiting;
             let (arrival, since) = (pending.arrival, pending.since);
             let waiter = self.waiter(ticket, &arrival, since);
             self.queue.push_front(waiter);
             return;
         };
-        self.give_up(ticket, outcome, reason, actions);
+        self.reject_pending(ticket, outcome, reason, actions);
     }
 
-    pub(super) fn give_up(
+    /// Removes a pending request and rejects it.
+    pub(super) fn reject_pending(
         &mut self,
         ticket: entity::Ticket,
         outcome: Outcome,
@@ -99,22 +103,23 @@
         actions: &mut Vec<Action>,
     ) {
         let Some(pending) = self.finish(ticket) else { return };
-        // An earlier attempt may have run, though the last one did not.
+        // An earlier attempt may have run even if the last one did not.
         let outcome = outcome.max(self::outcome(pending.runs));
-        self.refuse(ticket, pending.arrival.pool, outcome, reason, actions);
+        self.reject(ticket, pending.arrival.pool, outcome, reason, actions);
     }
 
-    pub(super) fn refuse_new(
+    /// Rejects a request that has not become pending.
+    pub(super) fn reject_new(
         &mut self,
         ticket: entity::Ticket,
         arrival: &Arrival,
         reason: Reason,
         actions: &mut Vec<Action>,
     ) {
-        self.refuse(ticket, arrival.pool, Outcome::NotRun, reason, actions);
+        self.reject(ticket, arrival.pool, Outcome::NotRun, reason, actions);
     }
 
-    fn refuse(
+    fn reject(
         &mut self,
         ticket: entity::Ticket,
         pool: entity::Pool,
@@ -136,6 +141,7 @@
         actions.push(Action::Refuse(Refusal { ticket, outcome, reason, retry_after }));
     }
 
+    /// Removes a pending request and releases its place in the limit of its team.
     pub(super) fn finish(&mut self, ticket: entity::Ticket) -> Option<Pending> {
         let pending = self.pending.remove(&ticket)?;
         self.queue.release(pending.arrival.team);
@@ -143,7 +149,7 @@
     }
 }
 
-/// What may be told of a request of which so many attempts may have run.
+/// Returns the outcome of a request of which `runs` attempts may have run.
 fn outcome(runs: u32) -> Outcome {
     if runs == 0 { Outcome::NotRun } else { Outcome::Unknown }
 }
--- a/decision/src/balancer/group.rs
+++ b/decision/src/balancer/group.rs
@@ -1,9 +1,9 @@
-//! What the balancer knows of groups whose backend servers run in lock-step.
+//! Groups, whose backend servers run in lock-step.
 //!
-//! A pool may have several groups. The ranks of one serve all together or not
-//! at all, which is believed of it by [`outage`], and every stream makes all others of the
-//! group slower, which its bound by pace keeps. A group that takes nothing is
-//! passed over for another one.
+//! A pool may have several groups. The ranks of a group are available or unavailable
+//! together; [`outage`] determines which. Each stream slows down all other streams of its
+//! group, so [`pace`] bounds the number of streams. A group that accepts no request is
+//! excluded, and another one is selected.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,80 +12,86 @@
 use crate::routing::{policy, server};
 use crate::{clock, entity, outage, pace, pass};
 
-/// What is kept of a group.
+/// The state of a group.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Group {
     pub(super) outage: outage::Outage,
     pub(super) pace: pace::Pace,
-    /// Own requests in flight.
+    /// Requests of this gateway in flight.
     pub(super) in_flight: u32,
-    /// When its bound was last noted.
+    /// Time of the last [`Note::Bound`].
     noted: clock::Instant,
 }
 
-/// Time beyond its expected return that a group is waited for, by callers that
-/// stay for two seconds without an event at the least.
-const HOLD_SLACK: Duration = Duration::from_millis(500);
-/// Least time between two notes of a group's bound.
+/// Time for which requests wait for a group beyond its expected recovery. Clients stay
+/// connected without an event for at least two seconds.
+const RECOVERY_SLACK: Duration = Duration::from_millis(500);
+/// Minimum time between two [`Note::Bound`] of a group.
 const NOTE_INTERVAL: Duration = Duration::from_secs(1);
 
 impl Group {
-    /// A request was sent to one of its ranks.
-    pub(super) fn enter(&mut self, now: clock::Instant) {
+    /// Records that a request was dispatched to one of the ranks.
+    pub(super) fn record_sent(&mut self, now: clock::Instant) {
         self.outage.sent(now);
         self.pace.sent(self.in_flight, now);
         self.in_flight += 1;
     }
 
-    /// Whether it serves nothing at present, as far as is known: it is broken or
-    /// out of reach and no probe is due, or it stands still.
-    fn down(&self, now: clock::Instant) -> bool {
+    /// Returns whether the group is known to be unavailable: it is broken or out of reach
+    /// and no probe is due, or its streams have stalled.
+    fn unavailable(&self, now: clock::Instant) -> bool {
         !self.outage.admits(now) || self.pace.stalled(self.in_flight, now)
     }
 
-    /// Whether it can take one more request.
-    fn takes(&self, now: clock::Instant) -> bool {
-        !self.down(now) && self.in_flight < self.pace.bound()
+    /// Returns whether the group can accept one more request.
+    fn can_accept(&self, now: clock::Instant) -> bool {
+        !self.unavailable(now) && self.in_flight < self.pace.bound()
     }
 }
 
 impl<P: policy::Policy> Balancer<P> {
-    /// What has changed since the last call.
+    /// Removes and returns the notes since the last call.
     pub fn take_notes(&mut self) -> Vec<Note> {
         std::mem::take(&mut self.notes)
     }
 
-    /// Sets what a pass of the pool's groups costs.
+    /// Sets the cost of a pass of the pool's groups.
     pub fn set_cost(&mut self, pool: entity::Pool, cost: pass::Cost) {
         self.costs.insert(pool, cost);
     }
 
-    /// Sets how long the pool's groups take to form.
+    /// Sets the time that the pool's groups take to form.
     pub fn set_form_time(&mut self, pool: entity::Pool, time: Duration) {
-        self.forms.insert(pool, time);
+        self.form_times.insert(pool, time);
     }
 
-    /// How long it takes until a group of the pool is expected to serve again.
-    pub(super) fn expected(&self, pool: entity::Pool, now: clock::Instant) -> Option<Duration> {
-        let form = *self.forms.get(&pool)?;
+    /// Returns the time until a group of the pool is expected to be available again.
+    pub(super) fn expected_recovery(
+        &self,
+        pool: entity::Pool,
+        now: clock::Instant,
+    ) -> Option<Duration> {
+        let form = *self.form_times.get(&pool)?;
         let groups = self.servers.usable(pool).filter_map(|(_, record)| record.listing.group);
         groups.filter_map(|group| self.groups[group].outage.expected(form, now)).min()
     }
 
-    /// Until when a request may wait for a group that is about to serve again;
-    /// none where it would be in vain. A caller that has come back once is not
-    /// refused a second time, a moment before it could be served.
-    pub(super) fn held_until(
+    /// Returns the time until which a request may wait for a group that is about to be
+    /// available again, or none if the request could not be answered by its deadline.
+    ///
+    /// Otherwise a client that has retried once could be rejected a second time, just
+    /// before its request could be served.
+    pub(super) fn wait_limit(
         &self,
         arrival: &Arrival,
         now: clock::Instant,
     ) -> Option<clock::Instant> {
-        let back = now + self.expected(arrival.pool, now)?;
+        let back = now + self.expected_recovery(arrival.pool, now)?;
         let served = back + self.queue.service(arrival.pool);
-        (served < arrival.deadline).then(|| back + HOLD_SLACK)
+        (served < arrival.deadline).then(|| back + RECOVERY_SLACK)
     }
 
-    /// Sets this gateway's place among those that share the backend servers.
+    /// Sets the number of this gateway among those that share the backend servers.
     pub fn set_share_of_servers(&mut self, share: Share) {
         self.share = share;
         for group in self.groups.values_mut() {
@@ -93,15 +99,16 @@
         }
     }
 
-    /// An answer told how many requests its backend server runs and keeps waiting.
+    /// Applies the number of running and waiting requests that a backend server reported
+    /// with an answer.
     pub fn report_load(&mut self, server: entity::Server, requests: u32) {
         if let Some(group) = self.servers[server].listing.group {
             self.groups[group].pace.report(requests);
         }
     }
 
-    /// An event of a request's stream came after a pause; events are wanted
-    /// within `wanted`. The first event of a stream has no pause.
+    /// Records that an event of a request's stream arrived `pause` after the previous one.
+    /// The pause should be at most `wanted`. It is zero for the first event of a stream.
     pub fn stream_event(
         &mut self,
         ticket: entity::Ticket,
@@ -122,13 +129,13 @@
                 group.noted = now;
                 self.notes.push(Note::Bound(id, ground));
             }
-            self.pump(pool, now, &mut actions);
+            self.dispatch_waiting(pool, now, &mut actions);
         }
         actions
     }
 
     fn view(&self, pool: entity::Pool, id: entity::Group) -> pace::View {
-        // Ranks of a drained zone take part in each pass.
+        // Ranks of a drained zone still take part in each pass.
         let members = self.servers.iter().map(|(_, record)| record);
         let of_group = |record: &&server::Record| {
             record.listing.pool == pool && record.listing.group == Some(id)
@@ -146,16 +153,16 @@
         }
     }
 
-    /// A request left a group.
-    pub(super) fn leave_group(&mut self, group: Option<entity::Group>) {
+    /// Records that a request to a group has ended.
+    pub(super) fn release_group(&mut self, group: Option<entity::Group>) {
         let Some(group) = group else { return };
         let group = &mut self.groups[group];
         debug_assert!(group.in_flight > 0, "the group has no request in flight");
         group.in_flight = group.in_flight.saturating_sub(1);
     }
 
-    /// A rank of the group answered a request that was sent then.
-    pub(super) fn group_answers(
+    /// Records that a rank of the group answered a request that was dispatched at `sent`.
+    pub(super) fn group_answered(
         &mut self,
         group: Option<entity::Group>,
         sent: Option<clock::Instant>,
@@ -163,11 +170,12 @@
     ) {
         let (Some(group), Some(sent)) = (group, sent) else { return };
         let change = self.groups[group].outage.answered(sent, now);
-        self.believe(group, change, now);
+        self.note_group_change(group, change, now);
     }
 
-    /// A rank told that its group is broken, to a request that was sent then.
-    pub(super) fn group_refuses(
+    /// Records that a rank rejected a request dispatched at `sent` because its group is
+    /// broken.
+    pub(super) fn group_refused(
         &mut self,
         group: Option<entity::Group>,
         sent: Option<clock::Instant>,
@@ -175,40 +183,40 @@
     ) {
         let (Some(group), Some(sent)) = (group, sent) else { return };
         let change = self.groups[group].outage.refused(sent, now);
-        self.believe(group, change, now);
+        self.note_group_change(group, change, now);
     }
 
-    /// No connection to a rank of the group came about.
+    /// Records that a rank of the group could not be connected to.
     pub(super) fn group_unreached(&mut self, server: entity::Server, now: clock::Instant) {
         let Some(group) = self.servers[server].listing.group else { return };
         let change = self.groups[group].outage.unreached(server, now);
-        self.believe(group, change, now);
+        self.note_group_change(group, change, now);
     }
 
-    /// A connection to a rank of a group that was out of reach came about.
+    /// Records a connection to a rank of a group that was out of reach.
     pub fn group_reached(&mut self, group: entity::Group, now: clock::Instant) -> Vec<Action> {
         let change = self.groups[group].outage.reached(now);
-        self.believe(group, change, now);
-        self.pump_all(now)
+        self.note_group_change(group, change, now);
+        self.dispatch_all_waiting(now)
     }
 
-    /// Takes what the entries of the ranks tell.
-    pub(super) fn hear(&mut self, now: clock::Instant) {
-        let mut told: BTreeMap<entity::Group, outage::News> = BTreeMap::new();
+    /// Applies what the list entries of the ranks report about their groups.
+    pub(super) fn apply_group_reports(&mut self, now: clock::Instant) {
+        let mut reports: BTreeMap<entity::Group, outage::News> = BTreeMap::new();
         for (_, record) in self.servers.iter().filter(|(_, record)| record.listed) {
             let (Some(group), Some(news)) = (record.listing.group, record.listing.news) else {
                 continue;
             };
-            told.entry(group).and_modify(|before| *before = before.with(news)).or_insert(news);
+            reports.entry(group).and_modify(|before| *before = before.with(news)).or_insert(news);
         }
-        for (group, news) in told {
+        for (group, news) in reports {
             self.groups[group].outage.share(self.share.of);
             let change = self.groups[group].outage.hear(news, now);
-            self.believe(group, change, now);
+            self.note_group_change(group, change, now);
         }
     }
 
-    /// Groups that are out of reach, each with its ranks.
+    /// Returns the groups that are out of reach, each with its usable ranks.
     pub fn unreachable_groups(&self) -> Vec<(entity::Group, Vec<entity::Server>)> {
         let unreached = |group: &entity::Group| {
             self.groups[*group].outage.ground() == Some(outage::Ground::Unreached)
@@ -224,9 +232,9 @@
         groups.map(|group| (group, ranks(group))).collect()
     }
 
-    /// Notes a change of what is believed of a group. Ranks that were taken out
-    /// while it was away are back with it.
-    fn believe(
+    /// Notes a change of a group's availability. When a group is available again, ranks
+    /// that were ejected during the outage are restored.
+    fn note_group_change(
         &mut self,
         group: entity::Group,
         change: Option<outage::Change>,
@@ -243,18 +251,18 @@
         self.notes.push(note);
     }
 
-    /// Whether all groups that serve a pool are known to serve nothing.
-    pub(super) fn all_down(&self, pool: entity::Pool, now: clock::Instant) -> bool {
+    /// Returns whether all groups that serve a pool are known to be unavailable.
+    pub(super) fn all_unavailable(&self, pool: entity::Pool, now: clock::Instant) -> bool {
         let groups = self.servers.usable(pool).map(|(_, record)| record.listing.group);
         let mut groups = groups.peekable();
-        // A pool without servers has no group either.
+        // A pool without servers has no group that could be unavailable.
         groups.peek().is_some()
-            && groups.all(|group| group.is_some_and(|group| self.groups[group].down(now)))
+            && groups.all(|group| group.is_some_and(|group| self.groups[group].unavailable(now)))
     }
 
-    /// Whether a backend server can take one more request, and its group too.
-    pub(super) fn takes(&self, record: &server::Record, now: clock::Instant) -> bool {
+    /// Returns whether a backend server and its group can accept one more request.
+    pub(super) fn can_accept(&self, record: &server::Record, now: clock::Instant) -> bool {
         let group = record.listing.group;
-        record.open(now) && group.is_none_or(|group| self.groups[group].takes(now))
+        record.open(now) && group.is_none_or(|group| self.groups[group].can_accept(now))
     }
 }
--- a/decision/src/balancer/message.rs
+++ b/decision/src/balancer/message.rs
@@ -1,4 +1,4 @@
-//! What goes into the balancer and what comes out of it.
+//! Input and output types of the balancer.
 
 use std::fmt;
 use std::time::Duration;
@@ -6,36 +6,35 @@
 use crate::routing::policy;
 use crate::{admission, clock, entity, outage, pace, poison};
 
-/// A request as it arrives.
+/// A request that arrives at the balancer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Arrival {
-    /// Pool that can answer it.
+    /// Pool whose backend servers can answer the request.
     pub pool: entity::Pool,
-    /// Team that sent it.
+    /// Team that sent the request.
     pub team: entity::Team,
-    /// Precedence of its class; 0 goes first.
+    /// Precedence of the request class; 0 is dispatched first.
     pub precedence: u32,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// Whether another backend server can go on with a begun answer.
+    /// Whether another backend server can continue an answer that has begun.
     pub resumable: bool,
-    /// Attempts that may run at the most.
+    /// Maximum number of attempts that may run.
     pub max_attempts: u32,
-    /// When its answer is due.
+    /// Time by which the answer must be complete.
     pub deadline: clock::Instant,
-    /// Until when it may wait for a backend server.
+    /// Time until which the request may wait for a backend server.
     pub expires: clock::Instant,
-    /// By when its answer should begin, if that is known: it waits no longer
-    /// than leaves time for it.
+    /// Time by which the answer should begin, if known. The request does not wait so long
+    /// that its answer would be expected to begin later.
     pub begin_by: Option<clock::Instant>,
-    /// Hash of the prompt's beginning; zero where there is none.
+    /// Hash of the prompt prefix; zero if there is none.
     pub prefix: u64,
-    /// What it is, if it may have ended a backend server.
+    /// Digest of the request if it is a suspect, which may have ended a backend server.
     pub suspect: Option<poison::Digest>,
 }
 
-/// Settings of the machine. [`Default`] gives what most callers take; the
-/// setters change one each.
+/// Settings of the balancer. [`Default`] gives the usual values; each setter changes one.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Options {
     pub(super) capacity: usize,
@@ -60,40 +59,39 @@
 }
 
 impl Options {
-    /// Requests that may wait.
+    /// Sets the maximum number of waiting requests.
     pub fn capacity(mut self, capacity: usize) -> Options {
         self.capacity = capacity;
         self
     }
 
-    /// Retries granted for each first attempt.
+    /// Sets the number of retries that each first attempt adds to the budget.
     pub fn retry_ratio(mut self, ratio: f64) -> Options {
         self.retry_ratio = ratio;
         self
     }
 
-    /// Retries that may be saved up.
+    /// Sets the maximum number of retries that the budget accumulates.
     pub fn retry_reserve(mut self, reserve: f64) -> Options {
         self.retry_reserve = reserve;
         self
     }
 
-    /// Whether an attempt after one that found no slot is a retry by the
-    /// budget. It is where backend servers are asked directly, so that a
-    /// refused attempt costs them something.
+    /// Sets whether an attempt after one that found no slot is charged to the retry budget.
+    /// It is where requests are sent to backend servers directly, because a rejected
+    /// attempt costs them work.
     pub fn charge_full(mut self, charge: bool) -> Options {
         self.charge_full = charge;
         self
     }
 
-    /// Shortest time after which a refused caller is told to come back.
+    /// Sets the minimum retry delay for the client of a rejected request.
     pub fn min_retry_after(mut self, time: Duration) -> Options {
         self.min_retry_after = time;
         self
     }
 
-    /// Time after which a caller is told to come back whose pool's group is
-    /// broken.
+    /// Sets the retry delay for clients of a pool whose groups are unavailable.
     pub fn group_retry_after(mut self, time: Duration) -> Options {
         self.group_retry_after = time;
         self
@@ -103,60 +101,60 @@
 /// How an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum End {
-    /// The answer was whole.
+    /// The answer is complete.
     Answered,
-    /// The agent refused it for want of a slot: never ran.
+    /// The attempt was rejected because no slot was free: it never ran.
     Full,
-    /// Nothing was sent, since the backend server has asked for rest, leaves or names
-    /// a rate limit.
+    /// Nothing was sent because the selected backend server has asked for rest, leaves or
+    /// has a rate limit.
     Withheld,
-    /// It surely never ran, for another cause.
+    /// The attempt certainly never ran, for another reason.
     NeverRan,
-    /// No connection to the backend server: it surely never ran, and others
-    /// would not get there either.
+    /// The backend server could not be connected to: the attempt certainly never ran, and
+    /// other requests would not reach the server either.
     Unreachable,
-    /// The backend server's group is broken: it surely never ran, and no other
-    /// rank can run it.
+    /// The group of the backend server is broken: the attempt certainly never ran, and no
+    /// other rank of the group can run it.
     GroupDown,
-    /// It ran, or may have, and there is no whole answer.
+    /// The attempt ran or may have run, and there is no complete answer.
     MayHaveRun {
-        /// Whether the caller has seen a part of the answer.
+        /// Whether the client has received a part of the answer.
         answer_begun: bool,
     },
-    /// The backend server ended under it.
+    /// The backend server ended while it ran the attempt.
     ServerEnded,
-    /// The caller left; there is nobody to answer.
+    /// The client has disconnected, so there is nobody to answer.
     Abandoned,
 }
 
-/// Final outcome of a request without a whole answer.
+/// The final outcome of a request without a complete answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Outcome {
-    /// It truly did not run.
+    /// The request certainly did not run.
     NotRun,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
 }
 
-/// Why a request was given up.
+/// The reason why a request was rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Reason {
-    /// Admission refused it.
+    /// Admission rejected the request.
     Admission(admission::Refusal),
     /// The pool has no usable backend server.
     NoBackend,
-    /// Its attempts are used up, or another would not be safe.
+    /// The attempts are used up, or another one would not be safe.
     Attempts,
     /// The retry budget is used up.
     Budget,
-    /// All groups that serve the pool are broken or stand still.
+    /// All groups that serve the pool are unavailable: broken, out of reach or stalled.
     GroupDown,
-    /// Its backend server ended under it.
+    /// The backend server ended while it ran the request.
     ServerEnded,
-    /// All backend servers of the pool rest, the first one for that time.
+    /// All backend servers of the pool rest. The first rest ends after the given time.
     Resting(Duration),
-    /// The rate limits of the pool's backend servers are used up; a caller that comes
-    /// back after that time finds some of them left.
+    /// The rate limits of the pool's backend servers are used up. A client that retries
+    /// after the given time can be served within them.
     Limited(Duration),
 }
 
@@ -175,66 +173,67 @@
     }
 }
 
-/// A backend server that was weighed, with its score at that time.
+/// A backend server that was considered for a request, with its score at that time.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Candidate {
     /// The backend server.
     pub server: entity::Server,
-    /// Its score; lower is less loaded.
+    /// The score; lower is less loaded.
     pub score: f64,
 }
 
-/// A request to be sent.
+/// An attempt to be sent to a backend server.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Dispatch {
     /// The request.
     pub ticket: entity::Ticket,
-    /// Which attempt this is, from 1.
+    /// Number of the attempt, from 1.
     pub attempt: u32,
-    /// The choice and its reason.
+    /// The selected backend server and the reason.
     pub choice: policy::Choice,
-    /// Those that were open and weighed.
+    /// Open backend servers that were considered.
     pub considered: Vec<Candidate>,
-    /// Some of those that rest or leave, by what they said themselves.
+    /// Some of the backend servers that were excluded because they rest, leave or have
+    /// used up a rate limit.
     pub passed_over: Vec<entity::Server>,
-    /// When it was chosen.
+    /// Time of the selection.
     pub at: clock::Instant,
 }
 
-/// A request to be given its final answer now.
+/// A request to be rejected now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Refusal {
     /// The request.
     pub ticket: entity::Ticket,
-    /// What it may be told.
+    /// Outcome to report to the client.
     pub outcome: Outcome,
-    /// Why.
+    /// Reason of the rejection.
     pub reason: Reason,
-    /// When to come back.
+    /// Time after which the client should retry.
     pub retry_after: Duration,
 }
 
-/// A change of what is believed of a group, for the log.
+/// A state change of a group or backend server, for the log.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Note {
-    /// The group does not serve, for that reason.
+    /// The group became unavailable for the given reason.
     GroupDown(entity::Group, outage::Ground),
-    /// The group serves again, after that time.
+    /// The group is available again after the given time.
     GroupUp(entity::Group, Duration),
-    /// The backend server's rest is over; it had lasted that long.
+    /// The rest of the backend server ended after the given time.
     Rested(entity::Server, Duration),
-    /// It is uncertain whether the backend server leaves, as it or an earlier run said
-    /// so; it gets nothing until that is settled.
+    /// It is uncertain whether the backend server leaves, because either it or an earlier
+    /// run announced it. The server gets no requests until this is settled.
     Unsettled(entity::Server),
-    /// The group carries as many own streams as its bound allows.
+    /// The group carries as many streams of this gateway as its bound allows.
     Bound(entity::Group, pace::Ground),
 }
 
-/// What the daemon is to do.
+/// An action that the owner of the balancer must carry out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Send an attempt.
     Send(Dispatch),
-    /// Give a final answer.
+    /// Reject a request.
     Refuse(Refusal),
 }
--- a/decision/src/balancer/rate.rs
+++ b/decision/src/balancer/rate.rs
@@ -1,8 +1,8 @@
-//! The rate limits that backend servers name, and what follows from them.
+//! Rate limits that backend servers report.
 //!
-//! Every way to a backend server passes [`server::Record::open`], which asks its
-//! [`rate::Quota`]; what was chosen before the limit was heard is held back by
-//! [`Balancer::still_accepts`].
+//! Every dispatch to a backend server is checked by [`server::Record::open`], which asks
+//! its [`rate::Quota`]. A request whose server was selected before the limit was received
+//! is stopped by [`Balancer::still_accepts`].
 
 use std::time::Duration;
 
@@ -10,22 +10,22 @@
 use crate::routing::{policy, rate, server};
 use crate::{clock, entity};
 
-/// Longest time between two requests that is told apart from longer ones: nobody waits
-/// for as long.
-const LONGEST_SPACING: Duration = Duration::from_secs(3_600);
+/// Maximum time between two requests. Longer times are cut to it, as no client waits that
+/// long.
+const MAX_SPACING: Duration = Duration::from_secs(3_600);
 
-/// What the rate limits of a pool allow, where all its backend servers have one.
+/// The combined rate limit of a pool whose backend servers all have one.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Limits {
     /// Time between two requests of this gateway.
     pub spacing: Duration,
-    /// The same if all gateways had the same share.
-    pub share: Duration,
+    /// Time between two requests of a gateway if all gateways had equal parts.
+    pub even_spacing: Duration,
 }
 
 impl<P: policy::Policy> Balancer<P> {
-    /// The answer to a request that was chosen for a backend server at `chosen` said
-    /// something of the server's rate limit.
+    /// Applies what the answer to a request reports about its backend server's rate limit.
+    /// The server was selected for the request at `chosen`.
     pub fn apply_rate_notice(
         &mut self,
         server: entity::Server,
@@ -40,14 +40,15 @@
         let mut actions = Vec::new();
         if change.is_some() {
             self.noticed.insert(server);
-            self.tell_later_run(server, now);
-            self.pump(self.servers[server].listing.pool, now, &mut actions);
+            self.apply_to_newest_run(server, now);
+            self.dispatch_waiting(self.servers[server].listing.pool, now, &mut actions);
         }
         (change, actions)
     }
 
-    /// Another gateway found that the rate limit of a run is lifted. Returns for how
-    /// long one was in force here, unless it was heard again since.
+    /// Lifts the rate limit of a run because another gateway found that it is lifted.
+    /// Returns the time for which the limit was in force at this gateway, or none if there
+    /// is no limit or the report may be older than the last notice received here.
     pub fn lift_limit(
         &mut self,
         host: &str,
@@ -58,7 +59,7 @@
         let time = self.servers[server].lift(born, now);
         let mut actions = Vec::new();
         if time.is_some() {
-            self.pump(self.servers[server].listing.pool, now, &mut actions);
+            self.dispatch_waiting(self.servers[server].listing.pool, now, &mut actions);
         }
         (time, actions)
     }
@@ -70,17 +71,17 @@
         }
         self.peers = peers;
         self.servers.set_peers(&self.peers, now);
-        self.pump_all(now)
+        self.dispatch_all_waiting(now)
     }
 
-    /// Listed backend servers that name a rate limit.
+    /// Returns the number of listed backend servers that have a rate limit.
     pub fn limited(&self) -> usize {
         let limited = |record: &server::Record| record.listed && record.quota.is_some();
         self.servers.iter().filter(|(_, record)| limited(record)).count()
     }
 
-    /// What the rate limits of a pool allow; none where one of its backend servers
-    /// has no limit.
+    /// Returns the combined rate limit of a pool, or none if one of its usable backend
+    /// servers has no limit.
     pub(super) fn limits_of(&self, pool: entity::Pool) -> Option<Limits> {
         let (mut own, mut all) = (0.0, 0.0);
         for (_, record) in self.servers.usable(pool) {
@@ -89,9 +90,12 @@
             all += quota.limit().usable();
         }
         let time = |rate: f64| {
-            let time = Duration::try_from_secs_f64(1.0 / rate).unwrap_or(LONGEST_SPACING);
-            time.min(LONGEST_SPACING)
+            let time = Duration::try_from_secs_f64(1.0 / rate).unwrap_or(MAX_SPACING);
+            time.min(MAX_SPACING)
         };
-        Some(Limits { spacing: time(own), share: time(all / f64::from(self.share.of.max(1))) })
+        Some(Limits {
+            spacing: time(own),
+            even_spacing: time(all / f64::from(self.share.of.max(1))),
+        })
     }
 }
--- a/decision/src/balancer/rest.rs
+++ b/decision/src/balancer/rest.rs
@@ -1,56 +1,57 @@
-//! What backend servers say of their own near future, and what follows from it.
+//! Notices of backend servers that they need a rest or are about to leave.
 //!
-//! Every way to a backend server passes [`server::Record::open`], which asks
-//! its [`notice::Standing`]; [`Balancer::still_accepts`] asks it once more in the last
-//! step before anything is sent.
+//! A *rest* is a period in which a backend server has asked for no requests. Every
+//! dispatch to a backend server is checked by [`server::Record::open`], which asks its
+//! [`notice::Standing`]. [`Balancer::still_accepts`] repeats the check in the last step
+//! before anything is sent.
 
 use std::time::Duration;
 
-use crate::balancer::{Action, Balancer, Note, Outcome, Place, Reason};
+use crate::balancer::{Action, Balancer, Note, Outcome, Reason, State};
 use crate::routing::{notice, policy, server};
 use crate::{admission, clock, entity};
 
-/// Backend servers that a decision names as passed over, at the most: enough for
-/// whoever reads the line to find their own lines.
-const NAMED: usize = 4;
+/// Maximum number of excluded backend servers that a dispatch lists. These are enough for
+/// a reader of the log to find the log lines of the servers themselves.
+const MAX_PASSED_OVER: usize = 4;
 
 impl<P: policy::Policy> Balancer<P> {
-    /// An answer of a backend server said something of its own near future.
+    /// Applies the notice in an answer of a backend server.
     pub fn apply_notice(
         &mut self,
         server: entity::Server,
         notice: &notice::Notice,
         now: clock::Instant,
     ) -> (Option<notice::Change>, Vec<Action>) {
-        // One that ended unseen is not the same as the one that may begin now.
+        // A rest that has ended unnoticed is distinct from one that may begin now.
         self.note_rested(now);
         let change = self.servers[server].notice(notice, now);
         let mut actions = Vec::new();
-        self.tell_later_run(server, now);
+        self.apply_to_newest_run(server, now);
         if change.is_some() {
             self.noticed.insert(server);
-            self.pump(self.servers[server].listing.pool, now, &mut actions);
+            self.dispatch_waiting(self.servers[server].listing.pool, now, &mut actions);
         }
         (change, actions)
     }
 
-    /// Applies what an answer said to the next run as well, where one has started
-    /// meanwhile: it may have given the answer.
-    pub(super) fn tell_later_run(&mut self, server: entity::Server, now: clock::Instant) {
+    /// Applies the notices of a run to the newest run of the same server too if another run
+    /// has started since. The newest run may have sent the answer.
+    pub(super) fn apply_to_newest_run(&mut self, server: entity::Server, now: clock::Instant) {
         let newest = self.servers.find(&self.servers[server].listing.host);
         let Some(newest) = newest.filter(|newest| *newest != server) else { return };
         let unsettled = self.servers.inherit(newest, server, now);
         self.note_inherited(newest, unsettled, now);
     }
 
-    /// Notes what a run has taken over from an earlier one.
+    /// Records that a run has inherited notices from an earlier one.
     pub(super) fn note_inherited(
         &mut self,
         server: entity::Server,
         unsettled: bool,
         now: clock::Instant,
     ) {
-        if said_something(&self.servers[server], now) {
+        if has_notice(&self.servers[server], now) {
             self.noticed.insert(server);
         }
         if unsettled {
@@ -58,7 +59,7 @@
         }
     }
 
-    /// Listed backend servers of which it is uncertain whether they leave.
+    /// Returns the listed backend servers of which it is uncertain whether they leave.
     pub fn unsettled(&self) -> impl Iterator<Item = entity::Server> {
         self.noticed.iter().copied().filter(|server| {
             let record = &self.servers[*server];
@@ -66,7 +67,7 @@
         })
     }
 
-    /// A backend server was found to leave, or not to.
+    /// Settles whether a backend server leaves.
     pub fn settle(
         &mut self,
         server: entity::Server,
@@ -75,14 +76,16 @@
     ) -> Vec<Action> {
         self.servers[server].standing.settle(leaving);
         let mut actions = Vec::new();
-        self.pump(self.servers[server].listing.pool, now, &mut actions);
+        self.dispatch_waiting(self.servers[server].listing.pool, now, &mut actions);
         actions
     }
 
-    /// Whether a backend server that was chosen then may still get what is to be sent
-    /// now. What was chosen before it asked for rest, named a rate limit, left the
-    /// list or started again, or before its zone was drained, and waited for a
-    /// connection meanwhile, would reach it after that.
+    /// Returns whether a request may still be sent to the backend server that was selected
+    /// for it at `chosen`.
+    ///
+    /// The request may have waited for a connection since then. In the meantime, the
+    /// server may have asked for rest, reported a rate limit, left the list or restarted,
+    /// or its zone may have been drained.
     pub fn still_accepts(
         &self,
         server: entity::Server,
@@ -94,7 +97,8 @@
         record.usable() && !record.standing.rests(now) && counted
     }
 
-    /// Backend servers that rest, and listed ones that have told that they leave.
+    /// Returns the number of backend servers that rest, and of listed ones that have
+    /// announced that they leave.
     pub fn resting_and_leaving(&self, now: clock::Instant) -> (usize, usize) {
         let records = || self.noticed.iter().map(|server| &self.servers[*server]);
         let resting = records().filter(|record| record.standing.rests(now)).count();
@@ -102,22 +106,23 @@
         (resting, leaving)
     }
 
-    /// Those of a pool that were left out of a choice for what they said.
+    /// Returns some backend servers of a pool that are excluded from selection because they
+    /// rest, leave or have used up a rate limit.
     pub(super) fn passed_over(
         &self,
         pool: entity::Pool,
         now: clock::Instant,
     ) -> Vec<entity::Server> {
-        let left_out = |record: &server::Record| {
-            let said = record.standing.leaving() || record.closed_until(now).is_some();
-            record.listing.pool == pool && record.listed && said
+        let excluded = |record: &server::Record| {
+            let closed = record.standing.leaving() || record.closed_until(now).is_some();
+            record.listing.pool == pool && record.listed && closed
         };
         let noticed = self.noticed.iter().copied();
-        noticed.filter(|server| left_out(&self.servers[*server])).take(NAMED).collect()
+        noticed.filter(|server| excluded(&self.servers[*server])).take(MAX_PASSED_OVER).collect()
     }
 
-    /// When the first backend server of a pool takes requests again, where all
-    /// that could serve it rest or have had what their rate limits allow.
+    /// Returns the time at which the first backend server of a pool accepts requests again,
+    /// if all usable ones rest or have used up their rate limits.
     pub(super) fn closed_until(
         &self,
         pool: entity::Pool,
@@ -134,11 +139,13 @@
         first
     }
 
-    /// Refuses those who could not be sent in time even when the first backend
-    /// server takes requests again, where all are closed by their own word: they
-    /// learn at once when to come back, and no queue builds up that falls over the
-    /// first one.
-    pub(super) fn refuse_closed(
+    /// Rejects the waiting requests of a pool that could not be dispatched in time once the
+    /// first backend server accepts requests again, if all of them rest or have used up
+    /// their rate limits.
+    ///
+    /// Clients learn immediately when to retry, and no queue builds up that would overload
+    /// the first server to return.
+    pub(super) fn reject_while_closed(
         &mut self,
         pool: entity::Pool,
         now: clock::Instant,
@@ -149,16 +156,16 @@
         let spacing = limits.map_or(Duration::ZERO, |limits| limits.spacing);
         for late in self.queue.sweep_for(pool, until, spacing) {
             let reason = match limits {
-                Some(limits) => Reason::Limited(self.queue.book(pool, limits.share, now)),
+                Some(limits) => Reason::Limited(self.queue.book(pool, limits.even_spacing, now)),
                 None => Reason::Resting(until.since(now)),
             };
-            self.give_up(late.ticket, Outcome::NotRun, reason, actions);
+            self.reject_pending(late.ticket, Outcome::NotRun, reason, actions);
         }
     }
 
-    /// Lets a request wait again that was not sent, since the backend server that
-    /// was chosen wants nothing any more: as if it had not been chosen.
-    pub(super) fn take_back(
+    /// Puts a request back into the queue that was not sent because the selected backend
+    /// server accepts no requests any more. Undoes the effects of the selection.
+    pub(super) fn undo_dispatch(
         &mut self,
         ticket: entity::Ticket,
         now: clock::Instant,
@@ -167,7 +174,7 @@
         let Some(pending) = self.pending.get_mut(&ticket) else { return };
         pending.attempts -= 1;
         pending.tried.pop();
-        pending.place = Place::Waiting;
+        pending.state = State::Waiting;
         pending.sent = None;
         pending.group = None;
         if pending.attempts == 0 {
@@ -179,13 +186,13 @@
         let (arrival, since) = (pending.arrival, pending.since);
         if arrival.deadline <= now {
             let reason = Reason::Admission(admission::Refusal::Deadline);
-            return self.give_up(ticket, Outcome::NotRun, reason, actions);
+            return self.reject_pending(ticket, Outcome::NotRun, reason, actions);
         }
         let waiter = self.waiter(ticket, &arrival, since);
         self.queue.push_front(waiter);
     }
 
-    /// Notes rests that have ended since the last look.
+    /// Notes the rests that have ended since the last call.
     pub(super) fn note_rested(&mut self, now: clock::Instant) {
         let servers = &mut self.servers;
         let notes = &mut self.notes;
@@ -194,13 +201,13 @@
             if let Some(time) = standing.ended(now) {
                 notes.push(Note::Rested(*server, time));
             }
-            said_something(&servers[*server], now)
+            has_notice(&servers[*server], now)
         });
     }
 }
 
-/// Whether something that a backend server said of itself is in force.
-fn said_something(record: &server::Record, now: clock::Instant) -> bool {
+/// Returns whether a notice or rate limit of a backend server is in force.
+fn has_notice(record: &server::Record, now: clock::Instant) -> bool {
     let standing = &record.standing;
     standing.rests(now) || standing.leaving() || record.quota.is_some()
 }
--- a/decision/src/balancer/verify.rs
+++ b/decision/src/balancer/verify.rs
@@ -1,36 +1,36 @@
-//! The verifier of the balancer: its counts agree with each other.
+//! Consistency checks of the balancer's counters.
 
-use crate::balancer::{Balancer, Pending, Place};
+use crate::balancer::{Balancer, Pending, State};
 use crate::{admission, entity};
 
 impl<P> Balancer<P> {
-    /// Checks the machine's invariants.
+    /// Checks the balancer's invariants.
     ///
     /// # Errors
     ///
-    /// The first [`Fault`] found.
+    /// Returns the first [`Fault`] found.
     pub fn verify(&self) -> Result<(), Fault> {
         self.queue.verify().map_err(Fault::Queue)?;
-        let waiting = self.pending.values().filter(|p| p.place == Place::Waiting).count();
+        let waiting = self.pending.values().filter(|p| p.state == State::Waiting).count();
         if waiting != self.queue.waiting() {
             return Err(Fault::Waiting);
         }
         for (server, record) in self.servers.iter() {
-            let sent = Place::Sent(server);
-            let in_flight = self.pending.values().filter(|p| p.place == sent).count();
+            let sent = State::Sent(server);
+            let in_flight = self.pending.values().filter(|p| p.state == sent).count();
             if in_flight != record.in_flight as usize {
                 return Err(Fault::InFlight(server));
             }
         }
-        let on_trial =
-            |p: &&Pending, server| p.place == Place::Sent(server) && p.arrival.suspect.is_some();
-        for server in self.trials.keys() {
-            if self.pending.values().filter(|p| on_trial(p, *server)).count() != 1 {
+        let is_suspect_at =
+            |p: &&Pending, server| p.state == State::Sent(server) && p.arrival.suspect.is_some();
+        for server in self.suspects.keys() {
+            if self.pending.values().filter(|p| is_suspect_at(p, *server)).count() != 1 {
                 return Err(Fault::Suspect(*server));
             }
         }
         for (id, group) in self.groups.iter() {
-            let own = |p: &&Pending| matches!(p.place, Place::Sent(_)) && p.group == Some(id);
+            let own = |p: &&Pending| matches!(p.state, State::Sent(_)) && p.group == Some(id);
             if self.pending.values().filter(own).count() != group.in_flight as usize {
                 return Err(Fault::GroupInFlight(id));
             }
@@ -39,22 +39,22 @@
     }
 }
 
-/// A broken invariant of the machine.
+/// A violated invariant of the balancer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum Fault {
-    /// The queue's own.
+    /// An invariant of the queue is violated.
     #[error(transparent)]
     Queue(admission::Fault),
-    /// Requests that wait are those in the queue.
-    #[error("requests that wait and the queue differ")]
+    /// The number of waiting requests differs from the length of the queue.
+    #[error("number of waiting requests differs from the length of the queue")]
     Waiting,
-    /// Requests sent to a backend server are those it has in flight.
-    #[error("requests in flight at {0} are miscounted")]
+    /// The number of requests dispatched to a backend server differs from its counter.
+    #[error("wrong count of requests in flight at {0}")]
     InFlight(entity::Server),
-    /// A backend server that is kept for a suspect runs one.
-    #[error("{0} is kept for a suspect that is not there")]
+    /// A backend server recorded as running a suspect does not run exactly one.
+    #[error("{0} is recorded as running a suspect but does not run exactly one")]
     Suspect(entity::Server),
-    /// Requests sent to a group are those it has in flight.
-    #[error("requests in flight at {0} are miscounted")]
+    /// The number of requests dispatched to a group differs from its counter.
+    #[error("wrong count of requests in flight at {0}")]
     GroupInFlight(entity::Group),
 }
