--- a/decision/tests/balancer.rs
+++ b/decision/tests/balancer.rs
@@ -1,4 +1,4 @@
-//! The entry host's decisions under generated event orders, and their rules.
+//! Invariants of the balancer under generated event sequences, and rules of its queue.
 
 #![allow(clippy::unwrap_used, reason = "a test that fails may panic")]
 
@@ -20,8 +20,8 @@
     balancer::Balancer::new(policy, &balancer::Options::default().capacity(capacity))
 }
 
-/// Shortest time after which a refused caller comes back.
-const RETURN: Duration = Duration::from_secs(1);
+/// Minimum retry delay for the client of a rejected request.
+const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 fn pool() -> entity::Pool {
     entity::Pool::from_u32(0)
@@ -43,7 +43,7 @@
     (0..count).map(listing).collect()
 }
 
-/// As [`listings`], in groups of two, of which the first is in the own zone.
+/// Returns [`listings`] in groups of two, the first group in the local zone.
 fn grouped(count: u32) -> Vec<server::Listing> {
     let group = |number: usize| entity::Group::from_u32(number as u32 / 2);
     let listings = listings(count).into_iter().enumerate();
@@ -55,7 +55,8 @@
     grouped.collect()
 }
 
-fn up(
+/// Reports a live backend server and opens its report stream.
+fn bring_up(
     balancer: &mut Balancer,
     server: u32,
     sequence: u64,
@@ -123,16 +124,16 @@
     ]
 }
 
-/// What a request has come to, as its caller sees it.
+/// The state of a request as its client observes it.
 #[derive(Debug, Default, Clone, Copy)]
-struct Seen {
+struct Observed {
     repeatable: bool,
     in_flight: bool,
     may_have_run: bool,
     finals: u32,
 }
 
-/// The same cases in every run.
+/// Returns a configuration that generates the same cases in every run.
 fn config(cases: u32) -> ProptestConfig {
     let rng_seed = RngSeed::Fixed(20_261_202);
     ProptestConfig { cases, rng_seed, failure_persistence: None, ..ProptestConfig::default() }
@@ -142,14 +143,14 @@
     #![proptest_config(config(1500))]
 
     #[test]
-    fn every_request_ends_once_and_truly(
+    fn every_request_has_one_final_answer_with_a_true_outcome(
         events in prop::collection::vec(event(), 1..150),
         lockstep in any::<bool>(),
     ) {
         let listings = if lockstep { grouped } else { listings };
         let mut balancer = new(8);
         let mut now = clock::Instant::ZERO;
-        let mut seen: BTreeMap<entity::Ticket, Seen> = BTreeMap::new();
+        let mut seen: BTreeMap<entity::Ticket, Observed> = BTreeMap::new();
         let mut sequence = 0;
         balancer.list(listings(4), now);
         for event in events {
@@ -186,7 +187,7 @@
                 }
                 Event::Report(server) if (server as usize) < balancer.servers().iter().count() => {
                     sequence += 1;
-                    up(&mut balancer, server, sequence, now)
+                    bring_up(&mut balancer, server, sequence, now)
                 }
                 Event::Connect(server, up) if (server as usize) < balancer.servers().iter().count() => {
                     balancer.set_connected(entity::Server::from_u32(server), up, now)
@@ -195,7 +196,7 @@
                 _ => continue,
             };
             if let Some((ticket, repeatable)) = fresh {
-                seen.insert(ticket, Seen { repeatable, ..Seen::default() });
+                seen.insert(ticket, Observed { repeatable, ..Observed::default() });
             }
             for action in actions {
                 match action {
@@ -208,8 +209,8 @@
                     balancer::Action::Refuse(refusal) => {
                         let state = seen.get_mut(&refusal.ticket).unwrap();
                         prop_assert!(!state.in_flight);
-                        let told = refusal.outcome == balancer::Outcome::NotRun;
-                        prop_assert!(!(told && state.may_have_run && !state.repeatable));
+                        let not_run = refusal.outcome == balancer::Outcome::NotRun;
+                        prop_assert!(!(not_run && state.may_have_run && !state.repeatable));
                         state.finals += 1;
                     }
                 }
@@ -217,7 +218,7 @@
             prop_assert_eq!(balancer.verify(), Ok(()));
             prop_assert!(seen.values().all(|state| state.finals <= 1));
         }
-        // No request is forgotten: each has ended, is out, or waits.
+        // No request is lost: each has a final answer, is in flight, or waits.
         let open = seen.values().filter(|state| state.finals == 0 && !state.in_flight).count();
         prop_assert_eq!(open, balancer.queue().waiting());
     }
@@ -236,8 +237,8 @@
 }
 
 #[test]
-fn urgent_goes_first_and_nobody_starves() {
-    let mut queue = admission::Queue::new(100, RETURN);
+fn dispatches_urgent_requests_first_without_starving_others() {
+    let mut queue = admission::Queue::new(100, MIN_RETRY_AFTER);
     for number in 0..40 {
         queue.push(waiter(number, 0, u32::from(number % 2 == 1)), clock::Instant::ZERO).unwrap();
     }
@@ -247,8 +248,8 @@
 }
 
 #[test]
-fn teams_share_by_weight() {
-    let mut queue = admission::Queue::new(100, RETURN);
+fn teams_are_served_in_proportion_to_their_weights() {
+    let mut queue = admission::Queue::new(100, MIN_RETRY_AFTER);
     let heavy = entity::Team::from_u32(0);
     queue.set_share(heavy, admission::Share { weight: 3, limit: 100 });
     for number in 0..60 {
@@ -259,8 +260,8 @@
 }
 
 #[test]
-fn a_greedy_team_gives_way_when_the_queue_is_full() {
-    let mut queue = admission::Queue::new(10, RETURN);
+fn a_full_queue_displaces_requests_of_the_team_that_holds_most() {
+    let mut queue = admission::Queue::new(10, MIN_RETRY_AFTER);
     for number in 0..10 {
         assert_eq!(queue.push(waiter(number, 0, 1), clock::Instant::ZERO), Ok(None));
     }
@@ -271,7 +272,7 @@
 }
 
 #[test]
-fn a_pool_without_a_usable_server_refuses_at_once() {
+fn rejects_at_once_if_the_pool_has_no_usable_server() {
     let mut balancer = new(8);
     balancer.list(listings(1), clock::Instant::ZERO);
     let deadline = clock::Instant::from_millis(1_000);
--- a/decision/tests/drained.rs
+++ b/decision/tests/drained.rs
@@ -13,7 +13,7 @@
 
 type Balancer = balancer::Balancer<policy::Blend>;
 
-/// Lists two servers each of two zones.
+/// Lists two servers in each of two zones.
 fn list(balancer: &mut Balancer, drained: [bool; 2]) -> Vec<balancer::Action> {
     let listing = |number: usize| server::Listing {
         host: format!("server-{number}").into(),
@@ -70,21 +70,21 @@
 }
 
 #[test]
-fn a_drained_zone_gets_nothing_and_others_take_its_requests() {
+fn requests_for_a_drained_zone_are_dispatched_to_other_zones() {
     let mut balancer = balancer();
     list(&mut balancer, [true, false]);
     for _ in 0..4 {
         assert!(sent(&arrive(&mut balancer)).iter().all(|server| *server >= 2));
     }
-    // These are full. Who waits is sent as the zone is in use again.
+    // The other zone is full. The waiting request is dispatched when the zone is in use again.
     assert_eq!(sent(&arrive(&mut balancer)), []);
     let taken = sent(&list(&mut balancer, [false, false]));
     assert!(taken.len() == 1 && taken[0] < 2, "{taken:?}");
 }
 
-/// Chosen before the zone was drained, and not yet sent.
+/// The server is selected before its zone is drained, and the request is not yet sent.
 #[test]
-fn what_was_chosen_before_is_not_sent_after() {
+fn requests_selected_before_a_drain_are_not_sent() {
     let mut balancer = balancer();
     list(&mut balancer, [false, true]);
     let chosen = entity::Server::from_u32(sent(&arrive(&mut balancer))[0]);
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn where_all_zones_are_drained_callers_are_refused_at_once() {
+fn rejects_at_once_if_all_zones_are_drained() {
     let mut balancer = balancer();
     list(&mut balancer, [true, true]);
     let actions = arrive(&mut balancer);
--- a/decision/tests/limited.rs
+++ b/decision/tests/limited.rs
@@ -1,5 +1,6 @@
-//! Backend servers that name a rate limit, before one gateway's balancer: every way to
-//! them counts, others serve what they don't, and who can't be served hears it at once.
+//! Backend servers that report a rate limit to the balancer of one gateway. Every dispatch
+//! counts against the limit, other servers take the excess, and requests that cannot be
+//! served in time are rejected at once.
 
 #![allow(clippy::unwrap_used, reason = "a test that fails may panic")]
 
@@ -16,27 +17,29 @@
 
 const SPAN: Duration = Duration::from_secs(4);
 
-fn named(rate: f64) -> Notice {
+/// Returns the notice of a rate limit, requests per second.
+fn limit_notice(rate: f64) -> Notice {
     Notice::Limited(Limit::per_second(rate).unwrap())
 }
 
-/// A server that has just named a limit in the answer to a first request.
+/// Returns a server that has just reported a limit in the answer to a first request.
 fn limited(setup: &mut Setup, rate: f64) -> entity::Server {
     let ticket = setup.arrive(DEADLINE);
     let server = setup.at(ticket).unwrap();
-    assert!(matches!(setup.limit(ticket, named(rate)), Some(Change::Limited(..))));
+    assert!(matches!(setup.limit(ticket, limit_notice(rate)), Some(Change::Limited(..))));
     setup.end(ticket, balancer::End::Answered);
     server
 }
 
-fn most_in_a_span(sent: &[clock::Instant]) -> usize {
+/// Returns the maximum number of requests within one [`SPAN`].
+fn max_in_a_span(sent: &[clock::Instant]) -> usize {
     let within = |first: &clock::Instant| {
         sent.partition_point(|at| *at <= *first + SPAN) - sent.partition_point(|at| at < first)
     };
     sent.iter().map(within).max().unwrap_or(0)
 }
 
-/// How a request comes to its end.
+/// Generates the end of an attempt.
 fn end() -> impl Strategy<Value = balancer::End> {
     prop_oneof![
         Just(balancer::End::Answered),
@@ -50,9 +53,10 @@
 }
 
 proptest! {
-    /// First and later attempts, those that come back to the queue, across lists and starts.
+    /// Covers first attempts, retries and requests put back into the queue, across host list
+    /// updates and server restarts.
     #[test]
-    fn every_way_to_a_server_counts_against_its_limit(
+    fn every_dispatch_to_a_server_counts_against_its_limit(
         rate in prop_oneof![Just(0.0), 0.1_f64..20.0],
         events in prop::collection::vec((0_u8..6, 0_u64..400, end(), 1_u64..3), 1..300),
     ) {
@@ -66,7 +70,7 @@
                 3 => setup.pass(ms),
                 4 => {
                     if let Some((ticket, ..)) = setup.sent.first().copied() {
-                        setup.limit(ticket, named(rate));
+                        setup.limit(ticket, limit_notice(rate));
                         setup.end(ticket, end);
                     }
                 }
@@ -78,13 +82,13 @@
             }
             prop_assert_eq!(setup.balancer.verify(), Ok(()));
         }
-        let most = most_in_a_span(&setup.times);
+        let most = max_in_a_span(&setup.times);
         prop_assert!(most as f64 <= 6.0 * rate + 5.0, "{most} at {rate}");
     }
 }
 
 #[test]
-fn others_serve_what_a_limit_does_not_allow() {
+fn other_servers_take_requests_beyond_the_limit() {
     let mut setup = Setup::new(&[(0, None), (1, None)]);
     let server = limited(&mut setup, 1.0);
     let mut of_server = 0;
@@ -98,9 +102,9 @@
     assert!((7..=11).contains(&of_server), "{of_server} in 10 s at one a second");
 }
 
-/// A queue at a limit would grow until its deadlines pass.
+/// Otherwise the queue would grow at the limit until deadlines pass.
 #[test]
-fn who_cannot_be_served_in_time_is_refused_at_once_with_a_time_of_its_own() {
+fn rejects_requests_that_miss_their_deadline_at_once_with_distinct_retry_times() {
     let mut setup = Setup::new(&[(0, None)]);
     limited(&mut setup, 1.0);
     for _ in 0..30 {
@@ -117,7 +121,7 @@
     times.sort_unstable();
     let gaps = times.windows(2).map(|pair| pair[1] - pair[0]);
     assert!(gaps.min().unwrap() >= Duration::from_millis(900), "{times:?}");
-    // Those who wait are served.
+    // The waiting requests are served.
     for _ in 0..60 {
         setup.pass(100);
         while let Some((ticket, ..)) = setup.sent.first().copied() {
@@ -128,15 +132,15 @@
     assert_eq!(setup.balancer.queue().waiting(), 0);
 }
 
-/// A connection takes time to come about, and the limit is heard meanwhile.
+/// A limit may be received while a request waits for its connection.
 #[test]
-fn what_was_chosen_before_the_limit_was_heard_is_held_back() {
+fn does_not_send_requests_whose_server_was_selected_before_its_limit() {
     let mut setup = Setup::new(&[(0, None), (1, None)]);
     let tickets: Vec<_> = (0..2 * SLOTS).map(|_| setup.arrive(DEADLINE)).collect();
     let server = setup.at(tickets[0]).unwrap();
     let chosen = setup.now;
     setup.pass(50);
-    setup.limit(tickets[0], named(1.0));
+    setup.limit(tickets[0], limit_notice(1.0));
     assert!(!setup.balancer.still_accepts(server, chosen, setup.now));
     let other = (0..2).map(|n| setup.find(n)).find(|id| *id != server).unwrap();
     assert!(setup.balancer.still_accepts(other, chosen, setup.now));
@@ -145,24 +149,24 @@
 }
 
 #[test]
-fn neither_a_rest_nor_a_limit_lifts_the_other() {
+fn a_rest_and_a_limit_do_not_lift_each_other() {
     let mut setup = Setup::new(&[(0, None)]);
     let server = limited(&mut setup, 1.0);
     let rest = notice::Rest::For(Duration::from_secs(5));
     setup.notice(server, &notice::Notice { rest, leaving: false });
     let open = |setup: &Setup| setup.balancer.servers()[server].open(setup.now);
     setup.pass(4_900);
-    assert!(!open(&setup), "it rests, though its limit would allow one");
+    assert!(!open(&setup), "it rests, although its limit allows one");
     setup.pass(2_000);
     let first = setup.arrive(DEADLINE);
     assert_eq!(setup.at(first), Some(server));
     setup.balancer.begin(first, Duration::from_millis(10), setup.now);
     setup.end(first, balancer::End::Answered);
-    assert!(!open(&setup), "the rest is over, and its limit is used up");
+    assert!(!open(&setup), "the rest is over, but its limit is used up");
 }
 
 #[test]
-fn an_answer_without_a_limit_lifts_it_at_once() {
+fn an_answer_without_a_limit_lifts_the_limit_at_once() {
     let mut setup = Setup::new(&[(0, None)]);
     let server = limited(&mut setup, 0.5);
     let waiting = setup.arrive(DEADLINE);
@@ -178,9 +182,9 @@
     assert!(setup.refused.is_empty());
 }
 
-/// A server that starts again serves before its entry tells the new start.
+/// A restarted server serves before its list entry reports the new start time.
 #[test]
-fn the_next_run_keeps_the_limit_until_its_first_answer() {
+fn a_new_run_inherits_the_limit_until_its_first_answer() {
     let mut setup = Setup::new(&[(0, Some(1))]);
     limited(&mut setup, 1.0);
     setup.list(&[(0, Some(2))]);
@@ -194,14 +198,14 @@
 }
 
 #[test]
-fn another_gateways_word_lifts_a_limit_unless_it_was_heard_again_since() {
+fn another_gateway_lifts_a_limit_unless_its_report_may_be_outdated() {
     let mut setup = Setup::new(&[(0, Some(1))]);
     let server = limited(&mut setup, 0.2);
     setup.pass(1_000);
     let lift = |setup: &mut Setup, born| setup.balancer.lift_limit("server-0", born, setup.now).0;
-    assert_eq!(lift(&mut setup, Some(1)), None, "it may be older than what was heard");
+    assert_eq!(lift(&mut setup, Some(1)), None, "it may be older than the last notice received");
     setup.pass(1_000);
-    assert_eq!(lift(&mut setup, Some(2)), None, "another run's");
+    assert_eq!(lift(&mut setup, Some(2)), None, "it concerns another run");
     assert_eq!(lift(&mut setup, Some(1)), Some(Duration::from_secs(2)));
     setup.pass(2_000);
     assert!(setup.balancer.servers()[server].open(setup.now));
--- a/decision/tests/rest.rs
+++ b/decision/tests/rest.rs
@@ -1,5 +1,5 @@
-//! Backend servers that ask for rest, or say that they leave: nothing is chosen
-//! for them, whatever comes between, and no longer than they asked.
+//! Backend servers that ask for rest or announce that they leave. No request is dispatched
+//! to them, whichever events follow, and a rest ends when the requested time is over.
 
 #![allow(clippy::unwrap_used, reason = "a test that fails may panic")]
 
@@ -15,7 +15,7 @@
 
 use common::{DEADLINE, SLOTS, Setup, pool};
 
-/// Longest time by which a server that rested gets requests later than it may.
+/// Maximum time after the end of a rest until the server gets requests again.
 const SPREAD: Duration = Duration::from_secs(1);
 
 fn rest(ms: u64) -> Notice {
@@ -25,12 +25,12 @@
 const LEAVES: Notice = Notice { rest: Rest::None, leaving: true };
 
 #[test]
-fn work_goes_to_others_until_the_rest_is_over() {
+fn other_servers_get_requests_until_the_rest_is_over() {
     let mut setup = Setup::new(&[(0, None), (1, None)]);
     let first = setup.arrive(DEADLINE);
     let resting = setup.at(first).unwrap();
     setup.turn_away(first, &rest(3_000));
-    assert_ne!(setup.at(first), Some(resting), "it goes to the other one at once");
+    assert_ne!(setup.at(first), Some(resting), "it is dispatched to the other server at once");
     for _ in 0..20 {
         let ticket = setup.arrive(DEADLINE);
         assert_ne!(setup.at(ticket), Some(resting));
@@ -46,33 +46,34 @@
     assert!(setup.refused.is_empty());
 }
 
-/// All gateways come back to a server at once that turned all away for the same
-/// overload: each tries with one request before it sends more.
+/// When an overloaded server has rejected the requests of all gateways, they return to it
+/// at the same time. Each gateway sends one trial request before it sends more.
 #[test]
-fn a_server_that_rested_is_tried_with_one_request() {
+fn sends_one_trial_request_after_a_rest() {
     let mut setup = Setup::new(&[(0, None)]);
     let server = setup.find(0);
     setup.notice(server, &rest(1_000));
     setup.pass(1_000 + SPREAD.as_millis() as u64);
     let tickets: Vec<_> = (0..3).map(|_| setup.arrive(DEADLINE)).collect();
     assert_eq!(setup.sent.len(), 1);
-    // It takes that one only in part: the next one is a trial again.
+    // The server breaks off the answer, so the next request is a trial again.
     setup.end(tickets[0], balancer::End::MayHaveRun { answer_begun: true });
     assert_eq!(setup.sent.len(), 1);
     let trial = setup.sent[0].0;
     setup.balancer.begin(trial, Duration::from_millis(50), setup.now);
     setup.pass(10);
-    assert_eq!(setup.sent.len(), 2, "an answer that begins opens it");
+    assert_eq!(setup.sent.len(), 2, "the server is open once an answer has begun");
 }
 
 #[test]
-fn later_words_and_answers_only_lengthen_a_rest() {
+fn later_notices_and_answers_never_shorten_a_rest() {
     let mut setup = Setup::new(&[(0, None), (1, None)]);
     let server = setup.find(0);
     let tickets: Vec<_> = (0..4).map(|_| setup.arrive(DEADLINE)).collect();
     assert!(matches!(setup.notice(server, &rest(3_000)), Some(Change::Rests(_))));
     setup.pass(100);
-    // A shorter one, one that cannot be read, a whole answer, a load report and a list change nothing.
+    // A shorter rest, an unreadable one, a complete answer, a load report and a host list
+    // change nothing.
     assert_eq!(setup.notice(server, &rest(500)), None);
     let unreadable = Notice { rest: Rest::Unreadable, leaving: false };
     assert_eq!(setup.notice(server, &unreadable), None);
@@ -83,15 +84,15 @@
     setup.list(&[(0, None), (1, None)]);
     setup.pass(2_800);
     assert!(!setup.balancer.still_accepts(server, setup.now, setup.now));
-    // A longer one moves its end.
+    // A longer rest extends it.
     assert_eq!(setup.notice(server, &rest(2_000)), None);
     setup.pass(1_900);
     assert!(!setup.balancer.servers()[server].open(setup.now));
 }
 
-/// Nothing was asked between the end of one rest and the next one.
+/// No call is made between the end of one rest and the start of the next one.
 #[test]
-fn a_rest_that_ended_unseen_is_followed_by_another_one() {
+fn reports_a_new_rest_after_one_that_ended_unnoticed() {
     let mut setup = Setup::new(&[(0, None)]);
     let server = setup.find(0);
     assert!(matches!(setup.notice(server, &rest(1_000)), Some(Change::Rests(_))));
@@ -102,7 +103,7 @@
 }
 
 #[test]
-fn a_very_long_rest_is_cut() {
+fn limits_a_rest_to_the_maximum() {
     let mut setup = Setup::new(&[(0, None)]);
     let server = setup.find(0);
     let endless = Notice { rest: Rest::For(Duration::MAX), leaving: false };
@@ -112,13 +113,13 @@
 }
 
 #[test]
-fn what_a_run_said_is_kept_while_its_entry_is_away_and_settled_for_the_next_run() {
+fn keeps_notices_of_an_unlisted_run_and_settles_them_for_the_next_run() {
     let mut setup = Setup::new(&[(0, Some(7)), (1, None)]);
     let server = setup.find(0);
     setup.notice(server, &rest(5_000));
     setup.list(&[(1, None)]);
     setup.pass(100);
-    // It returns without its start, then with it: the same run.
+    // The server is listed again without its start time, then with it: it is the same run.
     for born in [None, Some(7)] {
         setup.list(&[(0, born), (1, None)]);
         assert_eq!(setup.find(0), server);
@@ -126,10 +127,13 @@
     }
     assert_eq!(setup.notice(server, &LEAVES), Some(Change::Leaves));
     setup.pass(20_000);
-    assert!(!setup.balancer.servers()[server].open(setup.now), "it leaves, rested or not");
+    assert!(
+        !setup.balancer.servers()[server].open(setup.now),
+        "it leaves, whether its rest is over or not"
+    );
     setup.list(&[(0, Some(8)), (1, None)]);
     let new = setup.find(0);
-    // The new run may have said it before its entry told the start.
+    // The new run may have announced it before its list entry reported the new start time.
     assert!(new != server && !setup.balancer.servers()[new].open(setup.now));
     assert_eq!(setup.balancer.unsettled().collect::<Vec<_>>(), [new]);
     setup.balancer.settle(new, false, setup.now);
@@ -138,7 +142,7 @@
 }
 
 #[test]
-fn a_rest_is_taken_over_by_the_next_run_for_a_minute_at_most() {
+fn the_next_run_inherits_at_most_one_minute_of_rest() {
     let mut setup = Setup::new(&[(0, Some(7))]);
     let server = setup.find(0);
     setup.notice(server, &rest(3_600_000));
@@ -151,7 +155,7 @@
 }
 
 #[test]
-fn what_was_chosen_before_is_not_sent_and_not_charged() {
+fn requests_selected_before_a_rest_are_neither_sent_nor_charged() {
     let mut setup = Setup::new(&[(0, None), (1, None)]);
     let ticket = setup.arrive(DEADLINE);
     let server = setup.at(ticket).unwrap();
@@ -163,7 +167,7 @@
     assert!(other != server && setup.balancer.still_accepts(other, setup.now, setup.now));
     assert_eq!(setup.balancer.tally(), tally, "it counts as its first attempt");
     assert_eq!(setup.balancer.servers()[server].in_flight, 0);
-    // Where there is no other, it waits for the first that takes requests again.
+    // Without another server, the request waits for the first one to accept requests again.
     setup.notice(other, &rest(6_000));
     setup.end(ticket, balancer::End::Withheld);
     assert_eq!((setup.at(ticket), setup.refused.len()), (None, 0));
@@ -171,10 +175,10 @@
     assert_eq!(setup.at(ticket), Some(server));
 }
 
-/// All servers of a pool ask for rest: who could be served after it waits, who
-/// could not learns at once when the first one takes requests again.
+/// All servers of a pool ask for rest. Requests that can be served afterwards wait. Others
+/// are rejected at once with the time until the first server accepts requests again.
 #[test]
-fn where_all_rest_nobody_waits_in_vain() {
+fn rejects_requests_that_expire_before_the_first_rest_ends() {
     let mut setup = Setup::new(&[(0, None), (1, None)]);
     let (zero, one) = (setup.find(0), setup.find(1));
     setup.notice(zero, &rest(4_000));
@@ -192,9 +196,9 @@
     assert_eq!(setup.at(patient), Some(one));
 }
 
-/// Callers that were refused for a rest are told times that differ.
+/// Clients rejected because of a rest get different retry times.
 #[test]
-fn callers_come_back_spread() {
+fn retry_times_after_a_rest_are_spread() {
     let mut setup = Setup::new(&[(0, None)]);
     let server = setup.find(0);
     setup.notice(server, &rest(3_000));
@@ -206,12 +210,12 @@
     let (first, last) = (times[0], times[times.len() - 1]);
     assert!(first >= Duration::from_secs(3) && last >= first + Duration::from_secs(2));
     let largest = times.windows(2).map(|pair| pair[1] - pair[0]).max().unwrap();
-    assert!(largest < Duration::from_millis(300), "{largest:?} without a caller");
+    assert!(largest < Duration::from_millis(300), "{largest:?} without a retry");
 }
 
-/// A request that waits when the last server asks for rest learns it then.
+/// A request is already waiting when the last server asks for rest.
 #[test]
-fn who_waits_when_the_last_one_asks_for_rest_is_told_then() {
+fn rejects_waiting_requests_when_the_last_server_asks_for_rest() {
     let mut setup = Setup::new(&[(0, None)]);
     let running: Vec<_> = (0..SLOTS).map(|_| setup.arrive(DEADLINE)).collect();
     let waiting = setup.arrive(Duration::from_secs(1));
@@ -221,10 +225,10 @@
     assert_eq!(setup.refused.iter().map(|r| r.ticket).collect::<Vec<_>>(), [waiting]);
 }
 
-/// The last server leaves while a request is on its way to it. The pool has no
-/// group, so none is down: its callers are told that there is no server.
+/// The last server leaves while a request is being sent to it. The pool has no group that
+/// could be unavailable, so the reason of the rejection is that there is no server.
 #[test]
-fn a_pool_without_servers_has_no_group_that_is_down() {
+fn a_pool_without_servers_has_no_unavailable_group() {
     let mut setup = Setup::new(&[(0, None)]);
     let ticket = setup.arrive(DEADLINE);
     let server = setup.at(ticket).unwrap();
@@ -234,16 +238,17 @@
     assert_eq!(reasons, [balancer::Reason::NoBackend]);
 }
 
-/// A server that rests is no failing one, and counts for the floor of ejection.
+/// A rest does not count as a failure, but a resting server counts as ejected for the floor
+/// of the pool.
 #[test]
-fn a_rest_is_no_failure_and_keeps_others_in() {
+fn a_rest_is_not_a_failure_and_prevents_ejection_of_others() {
     let mut setup = Setup::new(&[(0, None), (1, None), (2, None), (3, None)]);
     let (zero, one, two) = (setup.find(0), setup.find(1), setup.find(2));
     for server in [zero, one] {
         setup.notice(server, &rest(60_000));
         assert!(!setup.balancer.servers()[server].health.ejected(setup.now));
     }
-    // Half of the pool rests: no other one is taken out for its failures.
+    // Half of the pool rests, so no other server is ejected for its failures.
     for _ in 0..30 {
         let ticket = setup.arrive(DEADLINE);
         let Some(server) = setup.at(ticket) else { continue };
@@ -265,7 +270,7 @@
         refuse: bool,
     },
     Leave(prop::sample::Index),
-    /// Health checks find whether those leave of which it is not known.
+    /// Health checks settle whether the uncertain servers leave.
     Settle(bool),
     End(prop::sample::Index, balancer::End),
     List(Vec<(bool, Option<u64>)>),
@@ -294,13 +299,13 @@
     ]
 }
 
-/// What a plain reading of the servers' words allows.
+/// A simple model of what the notices of the servers allow.
 #[derive(Default)]
 struct Model {
-    /// By run: until when it wants nothing at least, and at most.
+    /// Earliest and latest end of the rest of each run.
     rests: BTreeMap<entity::Server, (clock::Instant, clock::Instant)>,
     leaving: BTreeSet<entity::Server>,
-    /// Those of them of which it is not settled.
+    /// Runs in `leaving` of which it is uncertain whether they leave.
     unsettled: BTreeSet<entity::Server>,
     /// Newest run of each server.
     newest: BTreeMap<u32, entity::Server>,
@@ -313,7 +318,7 @@
         *held = (held.0.max(until), held.1.max(until + SPREAD));
     }
 
-    /// The next run of a server takes over what was said to the one before.
+    /// Lets the next run of a server inherit the notices of the earlier run.
     fn inherit(&mut self, setup: &Setup, earlier: entity::Server) {
         let host = &setup.balancer.servers()[earlier].listing.host;
         let next = setup.balancer.servers().find(host).unwrap();
@@ -321,7 +326,7 @@
             return;
         }
         let (least, most) = self.rests.get(&earlier).copied().unwrap_or_default();
-        // What was over by then is not taken over.
+        // A rest that is already over is not inherited.
         if setup.now < most {
             let held = self.rests.entry(next).or_default();
             *held = (held.0.max(least), held.1.max(most));
@@ -353,7 +358,7 @@
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(11), ..ProptestConfig::default() })]
 
     #[test]
-    fn no_order_of_events_sends_to_one_that_rests_or_keeps_one_out_longer(
+    fn resting_servers_get_no_requests_and_rests_end_in_any_order_of_events(
         events in prop::collection::vec(event(), 1..120),
     ) {
         let mut setup = Setup::new(&[(0, None), (1, None), (2, None)]);
@@ -405,11 +410,11 @@
                     prop_assert!(!setup.balancer.still_accepts(server, setup.now, setup.now));
                 }
                 if setup.now >= most {
-                    prop_assert!(!record.standing.rests(setup.now), "{server} rests on");
+                    prop_assert!(!record.standing.rests(setup.now), "{server} still rests");
                 }
             }
         }
-        // Nothing is out for good that did not leave.
+        // Only servers that leave are excluded permanently.
         while let Some((ticket, ..)) = setup.sent.first().copied() {
             setup.end(ticket, balancer::End::Answered);
         }
--- a/decision/tests/suspects.rs
+++ b/decision/tests/suspects.rs
@@ -1,4 +1,4 @@
-//! Requests that may have ended their servers run apart from each other.
+//! Isolation of suspects, the requests that may have ended their servers.
 
 #![allow(clippy::unwrap_used, reason = "a test that fails may panic")]
 
@@ -19,7 +19,7 @@
     entity::Pool::from_u32(0)
 }
 
-/// What one of the gateways knows of so many servers.
+/// Returns the balancer of one gateway with a number of servers.
 fn gateway(number: u32, servers: u32) -> Balancer {
     let rng = ChaCha8Rng::seed_from_u64(3);
     let policy = policy::Blend { rng, sample: 2, affinity_slack: 0.0 };
@@ -47,7 +47,8 @@
     balancer
 }
 
-/// A request arrives; a suspect has a name.
+/// Lets a request arrive, which is a suspect if it has a name. Returns its ticket and the
+/// servers to which requests were dispatched.
 fn arrive(balancer: &mut Balancer, suspect: Option<&str>) -> (entity::Ticket, Vec<entity::Server>) {
     let arrival = balancer::Arrival {
         pool: pool(),
@@ -76,7 +77,7 @@
 }
 
 #[test]
-fn gateways_send_suspects_to_servers_of_their_own() {
+fn gateways_dispatch_suspects_to_their_assigned_servers() {
     let mut taken = BTreeSet::new();
     for number in 0..GATEWAYS {
         let mut balancer = gateway(number, 6);
@@ -84,17 +85,17 @@
             taken.extend(arrive(&mut balancer, Some(name)).1);
         }
     }
-    // Two each; the third suspect of each waits.
+    // Each gateway dispatches two suspects; its third one waits.
     assert_eq!(taken.len(), 6);
 }
 
 #[test]
-fn a_suspect_waits_for_its_turn_and_others_do_not() {
+fn a_suspect_waits_for_an_assigned_server_while_other_requests_do_not() {
     let mut balancer = gateway(0, 3);
     let (first, server) = arrive(&mut balancer, Some("a"));
     assert_eq!(server.len(), 1);
     assert_eq!(arrive(&mut balancer, Some("b")).1, []);
-    // It waits beyond the time by which its answer should begin.
+    // The suspect waits beyond the time by which its answer should begin.
     assert_eq!(balancer.queue().waiting(), 1);
     for _ in 0..10 {
         let other = arrive(&mut balancer, None).1;
@@ -105,9 +106,9 @@
     assert_eq!(balancer.verify(), Ok(()));
 }
 
-/// Copies of one request are not on two servers at the same time.
+/// Copies of one request never run on two servers at the same time.
 #[test]
-fn tries_of_one_suspect_follow_each_other() {
+fn attempts_of_one_suspect_run_one_after_another() {
     let mut balancer = gateway(0, 9);
     let (first, server) = arrive(&mut balancer, Some("a"));
     assert_eq!(server.len(), 1);
@@ -115,10 +116,11 @@
     assert_eq!(sent(&balancer.end(first, balancer::End::ServerEnded, NOW)).len(), 1);
 }
 
-/// Where its own server has ended, a suspect waits: others' suspects are on the
-/// other servers. Once it is off the list, these are shared anew.
+/// If the server assigned to its gateway has ended, a suspect waits, because the other
+/// servers may run suspects of other gateways. Once the ended server is off the list, the
+/// remaining ones are assigned anew.
 #[test]
-fn a_suspect_waits_for_a_server_that_ended_while_it_is_listed() {
+fn a_suspect_waits_for_an_ended_server_while_that_is_listed() {
     let mut balancer = gateway(0, 3);
     let (first, before) = arrive(&mut balancer, Some("a"));
     balancer.end(first, balancer::End::ServerEnded, NOW);
@@ -130,9 +132,9 @@
     assert!(after.len() == 1 && after != before);
 }
 
-/// The pattern: a zone is cut off with the servers that are a gateway's own.
+/// A network partition may cut off a zone with all servers assigned to a gateway.
 #[test]
-fn a_suspect_whose_own_server_stays_away_goes_elsewhere() {
+fn a_suspect_uses_another_server_if_its_assigned_server_stays_away() {
     let mut balancer = gateway(0, 3);
     let (first, before) = arrive(&mut balancer, Some("a"));
     balancer.end(first, balancer::End::ServerEnded, NOW);
@@ -142,25 +144,25 @@
     assert!(after.len() == 1 && after != before, "{after:?}");
 }
 
-/// Seen: suspects used up all their attempts within a millisecond, each on the same server,
-/// which had ended a moment ago and took no connection: of three servers no second one is
-/// taken out.
+/// Guards against suspects that use up all attempts within a millisecond on the same server.
+/// The server had just ended and accepted no connection, but was not ejected, because only
+/// one of three servers may be ejected at a time.
 #[test]
-fn a_suspect_that_does_not_reach_its_server_waits_for_another_one() {
+fn a_suspect_that_cannot_reach_its_server_waits_for_another_one() {
     let mut balancer = gateway(0, 3);
     let (first, before) = arrive(&mut balancer, Some("a"));
     let (other, _) = arrive(&mut balancer, None);
     balancer.end(other, balancer::End::ServerEnded, NOW);
     let actions = balancer.end(first, balancer::End::Unreachable, NOW);
-    assert_eq!(actions, [], "neither sent there again nor refused");
+    assert_eq!(actions, [], "neither dispatched there again nor rejected");
     let after = sent(&balancer.tick(NOW + Duration::from_millis(1_500)));
     assert!(after.len() == 1 && after != before, "{after:?}");
     assert_eq!(balancer.verify(), Ok(()));
 }
 
-/// Nobody waits for a suspect where there is one server alone.
+/// Other requests do not wait for a suspect if there is only one server.
 #[test]
-fn the_only_server_takes_others_beside_a_suspect() {
+fn the_only_server_runs_other_requests_beside_a_suspect() {
     let mut balancer = gateway(0, 1);
     let (_, server) = arrive(&mut balancer, Some("a"));
     assert_eq!(arrive(&mut balancer, None).1, server);
