--- a/bench/src/poison.rs
+++ b/bench/src/poison.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeSet, BinaryHeap};
 use std::path::Path;
 
-use loftcove_decision::poison::{Digest, Item, Ledger, Mark, SETTLED, Standing};
+use loftcove_decision::poison::{Digest, Item, Ledger, Mark, SETTLE_TIME, Standing};
 use loftcove_decision::{clock, fleet};
 use plotters::prelude::*;
 use rand::Rng as _;
@@ -210,7 +210,7 @@
     /// Sends a request by some gateway, unless that refuses it.
     fn send(&mut self, digest: Digest) -> Option<(usize, usize)> {
         let gateway = self.rng.random_range(0..self.plan.gateways);
-        if matches!(self.ledgers[gateway].standing(digest), Standing::Convicted(_)) {
+        if matches!(self.ledgers[gateway].standing(digest), Standing::Refused(_)) {
             return None;
         }
         loop {
@@ -248,17 +248,17 @@
     fn tell(&mut self, gateway: usize, run: u64, digest: Digest, mark: Mark, at: u64, now: u64) {
         let moment = clock::Instant::from_millis(at);
         let item = Item { run: server_run(run), digest, mark, at: moment };
-        if !self.ledgers[gateway].take(&item, clock::Instant::from_millis(now)) {
+        if !self.ledgers[gateway].merge(&item, clock::Instant::from_millis(now)) {
             return;
         }
         self.spread(gateway, run, digest, mark, at, now);
-        self.at((at + SETTLED.as_millis() as u64).max(now), Event::Settle(gateway));
+        self.at((at + SETTLE_TIME.as_millis() as u64).max(now), Event::Settle(gateway));
         self.note_refusal(gateway, now);
     }
 
     /// Notes when the last gateway refuses the request.
     fn note_refusal(&mut self, gateway: usize, now: u64) {
-        let refuses = matches!(self.ledgers[gateway].standing(guilty()), Standing::Convicted(_));
+        let refuses = matches!(self.ledgers[gateway].standing(guilty()), Standing::Refused(_));
         if refuses && self.refusing.insert(gateway) && self.refusing.len() == self.plan.gateways {
             self.outcome.known_ms = self.second_end.map(|end| now - end);
         }
--- a/bench/src/suspects.rs
+++ b/bench/src/suspects.rs
@@ -255,7 +255,7 @@
         }
         match self.ledger.standing(digest(request)) {
             Standing::Sound => 0,
-            Standing::Suspect(ends) | Standing::Convicted(ends) => ends,
+            Standing::Suspect(ends) | Standing::Refused(ends) => ends,
         }
     }
 
@@ -266,7 +266,7 @@
                 let own = &self.requests[request as usize];
                 own.proven || own.ends >= BOUND
             }
-            _ => matches!(self.ledger.standing(digest(request)), Standing::Convicted(_)),
+            _ => matches!(self.ledger.standing(digest(request)), Standing::Refused(_)),
         }
     }
 
@@ -388,7 +388,7 @@
         let run = fleet::Run { id: run.to_string().into(), born: Some(run) };
         let at = moment(now - self.plan.news_ms);
         let item = Item { run, digest: digest(request), mark: Mark::Suspect, at };
-        self.ledger.take(&item, moment(now));
+        self.ledger.merge(&item, moment(now));
     }
 }
 
--- a/daemon/src/entry/flow.rs
+++ b/daemon/src/entry/flow.rs
@@ -54,7 +54,7 @@
     let max_body = process.settings.entry.as_ref().map_or(usize::MAX, |own| own.max_body);
     let call = call::read(id, request, &bundle, max_body).await?;
     let _in_time = tokio::time::timeout(call.budget, process.ends.settled(call.digest())).await;
-    if let poison::Standing::Convicted(ends) = process.ends.standing(call.digest()) {
+    if let poison::Standing::Refused(ends) = process.ends.standing(call.digest()) {
         let digest = call.digest();
         log::info!("request ends servers request={} digest={digest} ends={ends}", call.id);
         return Err(Refusal::EndsServers);
--- a/decision/src/balancer.rs
+++ b/decision/src/balancer.rs
@@ -180,7 +180,7 @@
         report: server::Report,
         now: clock::Instant,
     ) -> Vec<Action> {
-        if !self.servers[server].take(report, now) {
+        if !self.servers[server].apply_report(report, now) {
             return Vec::new();
         }
         let mut actions = Vec::new();
@@ -297,7 +297,7 @@
         let Place::Sent(server) = place else { return };
         if let Some(sent) = sent {
             self.queue.begun(pool, now.since(sent));
-            self.servers[server].standing.answers(sent);
+            self.servers[server].standing.answered(sent);
         }
         self.servers[server].health.answered(after);
         if self.slow(server) {
@@ -383,18 +383,18 @@
         let record = &mut self.servers[server];
         if let Some(sent) = sent {
             if end == End::Answered {
-                record.standing.answers(sent);
+                record.standing.answered(sent);
             }
-            record.standing.over(sent);
+            record.standing.request_ended(sent);
         }
         match end {
             End::Answered => {
                 record.window.grow(record.in_flight);
-                record.reopen();
+                record.ease_back_off();
             }
             End::Full => {
                 record.window.shrink(now);
-                record.shut(now);
+                record.back_off(now);
             }
             End::NeverRan | End::MayHaveRun { .. } => {
                 if record.health.failed() {
--- a/decision/src/balancer/choose.rs
+++ b/decision/src/balancer/choose.rs
@@ -91,10 +91,10 @@
     pub(super) fn slow(&self, server: entity::Server) -> bool {
         let pool = self.servers[server].listing.pool;
         let mut paces: Vec<f64> =
-            self.servers.usable(pool).filter_map(|(_, record)| record.health.pace()).collect();
+            self.servers.usable(pool).filter_map(|(_, record)| record.health.latency()).collect();
         paces.sort_by(f64::total_cmp);
         let (Some(own), Some(median)) =
-            (self.servers[server].health.pace(), paces.get(paces.len() / 2))
+            (self.servers[server].health.latency(), paces.get(paces.len() / 2))
         else {
             return false;
         };
--- a/decision/src/balancer/rate.rs
+++ b/decision/src/balancer/rate.rs
@@ -36,7 +36,7 @@
         let record = &mut self.servers[server];
         let listing = &record.listing;
         let place = || self.peers.place(&listing.host, &listing.zone);
-        let change = rate::Quota::hear(&mut record.quota, notice, place, (chosen, now));
+        let change = rate::Quota::update(&mut record.quota, notice, place, (chosen, now));
         let mut actions = Vec::new();
         if change.is_some() {
             self.noticed.insert(server);
--- a/decision/src/balancer/rest.rs
+++ b/decision/src/balancer/rest.rs
@@ -24,7 +24,7 @@
     ) -> (Option<notice::Change>, Vec<Action>) {
         // One that ended unseen is not the same as the one that may begin now.
         self.note_rested(now);
-        let change = self.servers[server].notice(notice, now);
+        let change = self.servers[server].apply_notice(notice, now);
         let mut actions = Vec::new();
         self.tell_later_run(server, now);
         if change.is_some() {
@@ -191,7 +191,7 @@
         let notes = &mut self.notes;
         self.noticed.retain(|server| {
             let standing = &mut servers[*server].standing;
-            if let Some(time) = standing.ended(now) {
+            if let Some(time) = standing.end_rest(now) {
                 notes.push(Note::Rested(*server, time));
             }
             said_something(&servers[*server], now)
--- a/decision/src/poison.rs
+++ b/decision/src/poison.rs
@@ -21,8 +21,9 @@
 //! so that it does not matter in which order and how often they come.
 
 mod abandoned;
+mod burst;
 mod finished;
-mod lookout;
+
 mod verdict;
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -32,45 +33,46 @@
 use sha2::Digest as _;
 
 pub use self::abandoned::Abandoned;
+pub use self::burst::Burst;
 pub use self::finished::Finished;
-pub use self::lookout::Lookout;
+
 pub use self::verdict::{Evidence, Ground, Verdict};
 use crate::{clock, fleet};
 
 /// Bytes of a digest: two requests share one by chance once in 2^64 of them.
-const BYTES: usize = 16;
+const DIGEST_BYTES: usize = 16;
 
 /// Ends from which a request is refused that one of them proves.
-const PROVEN: u32 = 2;
+const PROVEN_ENDS: u32 = 2;
 /// Ends from which it is refused whoever else was there, if nobody was on as many.
-const LEADING: u32 = 3;
+const LEADING_ENDS: u32 = 3;
 /// Ends from which it is refused in any case.
-const CERTAIN: u32 = 4;
+const CERTAIN_ENDS: u32 = 4;
 /// Time from an end until what is known of it proves anything: gateways find it up
 /// to 0.25 s apart, and until all have told, whoever is known to have been there
 /// seems to have been alone.
-pub const SETTLED: Duration = Duration::from_millis(300);
+pub const SETTLE_TIME: Duration = Duration::from_millis(300);
 /// Time for which a request is held back while it is open whether it or another one
 /// ended a server: the others' callers ask again within it.
 const UNDECIDED_TIME: Duration = Duration::from_millis(1_500);
 /// How long an end counts, and so for how long a request is refused after the
 /// last one: the longest lease of the store, which keeps it over a restart of
 /// all gateways.
-pub const KEPT: Duration = Duration::from_secs(600);
+pub const RETENTION: Duration = Duration::from_secs(600);
 /// Time between two ends of one server, as they are told, from which they are two.
 /// It takes a second and more to be back; an end is found within 0.4 s.
-const SAME_END: Duration = Duration::from_millis(500);
-/// Ends that are kept: 128 with [`MOST_REQUESTS`] each are 8,192 marks, some
+const SAME_END_TIME: Duration = Duration::from_millis(500);
+/// Ends that are kept: 128 with [`MAX_REQUESTS_PER_END`] each are 8,192 marks, some
 /// 0.5 MB. Of more, the oldest that convicts nobody goes first.
-const MOST_ENDS: usize = 128;
+const MAX_ENDS: usize = 128;
 /// Requests that are kept of one end: a backend server runs and queues fewer.
-const MOST_REQUESTS: usize = 64;
+const MAX_REQUESTS_PER_END: usize = 64;
 
 /// Names what a caller asks for, whichever of its tries it is: the same at all
 /// gateways. Made by a cryptographic hash, so that no caller can choose a
 /// request that is taken for another's.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Digest([u8; BYTES]);
+pub struct Digest([u8; DIGEST_BYTES]);
 
 impl Digest {
     /// The digest of a request by its parts, in an order that all callers of
@@ -81,8 +83,8 @@
             hash.update((part.len() as u64).to_le_bytes());
             hash.update(part);
         }
-        let mut bytes = [0; BYTES];
-        bytes.copy_from_slice(&hash.finalize()[..BYTES]);
+        let mut bytes = [0; DIGEST_BYTES];
+        bytes.copy_from_slice(&hash.finalize()[..DIGEST_BYTES]);
         Digest(bytes)
     }
 
@@ -98,7 +100,8 @@
 
     /// The digest with that text form.
     pub fn from_text(text: &str) -> Option<Digest> {
-        let number = u128::from_str_radix(text, 16).ok().filter(|_| text.len() == 2 * BYTES)?;
+        let number =
+            u128::from_str_radix(text, 16).ok().filter(|_| text.len() == 2 * DIGEST_BYTES)?;
         Some(Digest(number.to_be_bytes()))
     }
 }
@@ -147,7 +150,7 @@
     /// It was on so many servers that ended, which nothing else explains.
     Suspect(u32),
     /// It ended so many servers, and is refused.
-    Convicted(u32),
+    Refused(u32),
 }
 
 /// The end of one backend server.
@@ -164,18 +167,18 @@
     }
 
     fn settled(&self, now: clock::Instant) -> bool {
-        now.since(self.at) >= SETTLED
+        now.since(self.at) >= SETTLE_TIME
     }
 
     /// The only request there that may have ended it.
     fn sole(&self) -> Option<Digest> {
-        only(self.suspects())
+        single(self.suspects())
     }
 
     /// The only one there that was suspect before it was sent.
     fn alone(&self) -> Option<Digest> {
         let alone = self.marks.iter().filter(|(_, mark)| **mark == Mark::Alone);
-        only(alone.map(|(digest, _)| *digest))
+        single(alone.map(|(digest, _)| *digest))
     }
 }
 
@@ -185,32 +188,32 @@
     /// By the run and the time of its end.
     ends: BTreeMap<(fleet::Run, clock::Instant), End>,
     /// Why each request that is refused is.
-    convicted: BTreeMap<Digest, Verdict>,
+    refused: BTreeMap<Digest, Verdict>,
     /// Ends of each other request that was on a server whose end is not explained.
     suspected: BTreeMap<Digest, u32>,
     /// Until when requests are not sent again that were tried beside others: these
     /// may come to their end before, and leave it as the only one, or end a server.
     undecided: BTreeMap<Digest, clock::Instant>,
     /// When that was worked out.
-    judged: clock::Instant,
+    evaluated_at: clock::Instant,
 }
 
 impl Ledger {
     /// Takes what is told of a request. Returns whether it was news.
-    pub fn take(&mut self, item: &Item, now: clock::Instant) -> bool {
-        if now.since(item.at) >= KEPT {
+    pub fn merge(&mut self, item: &Item, now: clock::Instant) -> bool {
+        if now.since(item.at) >= RETENTION {
             return false;
         }
         let key = self.key(item);
         let at = key.1;
         let end = self.ends.entry(key).or_insert_with(|| End { at, marks: BTreeMap::new() });
         let known = end.marks.get(&item.digest);
-        if known >= Some(&item.mark) || known.is_none() && end.marks.len() >= MOST_REQUESTS {
+        if known >= Some(&item.mark) || known.is_none() && end.marks.len() >= MAX_REQUESTS_PER_END {
             return false;
         }
         end.marks.insert(item.digest, item.mark);
-        self.judged = self.judged.max(now);
-        self.judge();
+        self.evaluated_at = self.evaluated_at.max(now);
+        self.evaluate();
         self.evict();
         true
     }
@@ -221,7 +224,7 @@
     fn key(&self, item: &Item) -> (fleet::Run, clock::Instant) {
         let apart = |at: clock::Instant| at.since(item.at).max(item.at.since(at));
         let mut known = self.ends.keys().filter(|(run, _)| run.id == item.run.id);
-        let same = known.find(|(_, at)| apart(*at) < SAME_END);
+        let same = known.find(|(_, at)| apart(*at) < SAME_END_TIME);
         same.cloned().unwrap_or_else(|| (item.run.clone(), item.at))
     }
 
@@ -233,7 +236,7 @@
 
     /// Those servers ended by another cause than a request. Returns what others
     /// are to be told.
-    pub fn explain(&mut self, runs: &[fleet::Run]) -> Vec<Item> {
+    pub fn clear_runs(&mut self, runs: &[fleet::Run]) -> Vec<Item> {
         self.clear_where(|run, _| runs.contains(run))
     }
 
@@ -247,15 +250,15 @@
             }
         }
         if !items.is_empty() {
-            self.judge();
+            self.evaluate();
         }
         items
     }
 
     /// What is held of a request.
     pub fn standing(&self, digest: Digest) -> Standing {
-        if let Some(verdict) = self.convicted.get(&digest) {
-            return Standing::Convicted(verdict.ends);
+        if let Some(verdict) = self.refused.get(&digest) {
+            return Standing::Refused(verdict.ends);
         }
         self.suspected.get(&digest).map_or(Standing::Sound, |ends| Standing::Suspect(*ends))
     }
@@ -268,13 +271,13 @@
     }
 
     /// Requests that are refused.
-    pub fn convicted(&self) -> impl Iterator<Item = Digest> {
-        self.convicted.keys().copied()
+    pub fn refused(&self) -> impl Iterator<Item = Digest> {
+        self.refused.keys().copied()
     }
 
     /// Why a request is refused, if it is.
     pub fn verdict(&self, digest: Digest) -> Option<Verdict> {
-        self.convicted.get(&digest).copied()
+        self.refused.get(&digest).copied()
     }
 
     /// The ends that are held against a request, and who else was there.
@@ -306,11 +309,11 @@
     /// Forgets ends that no longer count, and takes what has settled.
     pub fn expire(&mut self, now: clock::Instant) {
         let before = self.ends.len();
-        self.ends.retain(|_, end| now.since(end.at) < KEPT);
-        let settles = self.unsettled(self.judged) && now > self.judged;
-        self.judged = self.judged.max(now);
+        self.ends.retain(|_, end| now.since(end.at) < RETENTION);
+        let settles = self.unsettled(self.evaluated_at) && now > self.evaluated_at;
+        self.evaluated_at = self.evaluated_at.max(now);
         if self.ends.len() < before || settles {
-            self.judge();
+            self.evaluate();
         }
     }
 
@@ -337,31 +340,31 @@
     /// Works out who is to blame, from the surest ground down. An end is explained
     /// by a request that is refused for it, and then says nothing of others: what
     /// was found on a weaker ground before is taken back by a proof that comes later.
-    fn judge(&mut self) {
-        self.convicted.clear();
+    fn evaluate(&mut self) {
+        self.refused.clear();
         let mut open: Vec<&End> = self.ends.values().collect();
         loop {
             let counts = count(&open);
-            let Some((ground, guilty)) = guilty(&open, &counts, self.judged) else {
+            let Some((ground, guilty)) = guilty(&open, &counts, self.evaluated_at) else {
                 self.undecided = undecided(&open, &counts);
                 self.suspected = counts;
                 return;
             };
             open.retain(|end| !end.suspects().any(|digest| guilty.contains(&digest)));
             for digest in guilty {
-                self.convicted.insert(digest, Verdict { ends: counts[&digest], ground });
+                self.refused.insert(digest, Verdict { ends: counts[&digest], ground });
             }
         }
     }
 
     fn evict(&mut self) {
-        while self.ends.len() > MOST_ENDS {
-            let idle =
-                |end: &End| !end.suspects().any(|digest| self.convicted.contains_key(&digest));
-            let oldest = self.ends.iter().min_by_key(|(_, end)| (!idle(end), end.at));
+        while self.ends.len() > MAX_ENDS {
+            let refuses_nobody =
+                |end: &End| !end.suspects().any(|digest| self.refused.contains_key(&digest));
+            let oldest = self.ends.iter().min_by_key(|(_, end)| (!refuses_nobody(end), end.at));
             let Some(key) = oldest.map(|(key, _)| key.clone()) else { return };
             self.ends.remove(&key);
-            self.judge();
+            self.evaluate();
         }
     }
 
@@ -371,13 +374,13 @@
     ///
     /// The first [`Fault`] found.
     pub fn verify(&self) -> Result<(), Fault> {
-        if self.ends.len() > MOST_ENDS {
+        if self.ends.len() > MAX_ENDS {
             return Err(Fault::Ends);
         }
-        if self.ends.values().any(|end| end.marks.len() > MOST_REQUESTS) {
+        if self.ends.values().any(|end| end.marks.len() > MAX_REQUESTS_PER_END) {
             return Err(Fault::Requests);
         }
-        if self.convicted.values().any(|verdict| verdict.ends < PROVEN) {
+        if self.refused.values().any(|verdict| verdict.ends < PROVEN_ENDS) {
             return Err(Fault::Grounds);
         }
         Ok(())
@@ -406,7 +409,7 @@
     counts
 }
 
-fn only<T>(mut all: impl Iterator<Item = T>) -> Option<T> {
+fn single<T>(mut all: impl Iterator<Item = T>) -> Option<T> {
     all.next().filter(|_| all.next().is_none())
 }
 
@@ -419,7 +422,7 @@
     let settled: Vec<&End> = ends.iter().copied().filter(|end| end.settled(now)).collect();
     let proven = |of: fn(&End) -> Option<Digest>| -> BTreeSet<Digest> {
         let found = settled.iter().filter_map(|end| of(end));
-        found.filter(|digest| counts[digest] >= PROVEN).collect()
+        found.filter(|digest| counts[digest] >= PROVEN_ENDS).collect()
     };
     // A mark that others are still to tell of is the weakest of these.
     let sure = |end: &End| end.alone().filter(|digest| end.sole() == Some(*digest));
@@ -436,7 +439,9 @@
 fn undecided(ends: &[&End], counts: &BTreeMap<Digest, u32>) -> BTreeMap<Digest, clock::Instant> {
     let mut until = BTreeMap::new();
     for end in ends {
-        let Some(digest) = end.alone().filter(|digest| counts[digest] >= PROVEN) else { continue };
+        let Some(digest) = end.alone().filter(|digest| counts[digest] >= PROVEN_ENDS) else {
+            continue;
+        };
         let at = until.entry(digest).or_insert(end.at);
         *at = end.at.max(*at);
     }
@@ -450,6 +455,6 @@
     let most = counts.values().max().copied().unwrap_or(0);
     let leaders: BTreeSet<Digest> =
         counts.iter().filter(|(_, ends)| **ends == most).map(|(digest, _)| *digest).collect();
-    let enough = most >= CERTAIN || most >= LEADING && leaders.len() == 1;
+    let enough = most >= CERTAIN_ENDS || most >= LEADING_ENDS && leaders.len() == 1;
     if enough { leaders } else { BTreeSet::new() }
 }
--- a/decision/src/poison/abandoned.rs
+++ b/decision/src/poison/abandoned.rs
@@ -10,7 +10,7 @@
 use crate::{clock, fleet};
 
 /// Requests that are remembered; the oldest goes first.
-const MOST: usize = 256;
+const MAX_REQUESTS: usize = 256;
 
 /// Requests that one gateway gave up.
 #[derive(Debug, Default)]
@@ -29,7 +29,7 @@
 impl Abandoned {
     /// A request was given up that a server may run until then.
     pub fn add(&mut self, run: &fleet::Run, digest: Digest, until: clock::Instant) {
-        if self.running.len() >= MOST {
+        if self.running.len() >= MAX_REQUESTS {
             self.running.pop_front();
         }
         self.running.push_back(Running { run: run.clone(), digest, until });
--- a/decision/src/poison/finished.rs
+++ b/decision/src/poison/finished.rs
@@ -8,10 +8,10 @@
 
 /// Requests that a gateway remembers to have come to their end: 4,096 of some
 /// 50 bytes, the last 40 seconds of one that answers a hundred a second.
-const MOST_FINISHED: usize = 4_096;
+const MAX_FINISHED: usize = 4_096;
 /// For how long they are remembered. A request that many callers send alike
 /// comes to its end far more often.
-const FINISHED_TIME: Duration = Duration::from_secs(60);
+const RETENTION: Duration = Duration::from_secs(60);
 
 /// Requests that came to their end of late. One that many callers send alike is
 /// on most servers that end, and must not be blamed for it: refused everywhere,
@@ -31,7 +31,7 @@
         self.count += 1;
         self.last.insert(digest, (now, self.count));
         self.order.push_back((digest, self.count));
-        if self.order.len() <= MOST_FINISHED {
+        if self.order.len() <= MAX_FINISHED {
             return;
         }
         let Some((oldest, number)) = self.order.pop_front() else { return };
@@ -42,6 +42,6 @@
 
     /// Whether a request came to its end of late.
     pub fn contains(&self, digest: Digest, now: clock::Instant) -> bool {
-        self.last.get(&digest).is_some_and(|(at, _)| now.since(*at) < FINISHED_TIME)
+        self.last.get(&digest).is_some_and(|(at, _)| now.since(*at) < RETENTION)
     }
 }
--- a/decision/src/routing/eject.rs
+++ b/decision/src/routing/eject.rs
@@ -10,23 +10,23 @@
 use crate::clock;
 
 /// Failures in a row that eject.
-const FAILURES: u32 = 3;
+const MAX_FAILURES: u32 = 3;
 /// First time out, and the longest.
-const TIME_OUT: (Duration, Duration) = (Duration::from_secs(2), Duration::from_secs(60));
+const EJECTION_TIME: (Duration, Duration) = (Duration::from_secs(2), Duration::from_secs(60));
 /// Weight of the newest sample in the mean time to the first part of an answer.
-const PACE_GAIN: f64 = 0.2;
+const LATENCY_GAIN: f64 = 0.2;
 /// How much slower than the pool's median a backend server must be to be out.
 pub const SLOW_FACTOR: f64 = 4.0;
 /// Part of a pool that must stay in.
-pub const FLOOR: f64 = 0.5;
+pub const MIN_AVAILABLE: f64 = 0.5;
 
 /// Record of one backend server's failures.
 #[derive(Debug, Clone, Default)]
 pub struct Health {
     failures: u32,
-    rounds: u32,
+    ejections: u32,
     until: Option<clock::Instant>,
-    pace: Option<f64>,
+    latency: Option<f64>,
 }
 
 impl Health {
@@ -36,39 +36,39 @@
     }
 
     /// Mean time to the first part of an answer, seconds.
-    pub fn pace(&self) -> Option<f64> {
-        self.pace
+    pub fn latency(&self) -> Option<f64> {
+        self.latency
     }
 
     /// An answer began after that time.
     pub fn answered(&mut self, first_part: Duration) {
         let sample = first_part.as_secs_f64();
-        let mean = self.pace.unwrap_or(sample);
-        self.pace = Some(mean + PACE_GAIN * (sample - mean));
+        let mean = self.latency.unwrap_or(sample);
+        self.latency = Some(mean + LATENCY_GAIN * (sample - mean));
         self.failures = 0;
-        self.rounds = self.rounds.saturating_sub(1);
+        self.ejections = self.ejections.saturating_sub(1);
     }
 
     /// An attempt failed. Returns whether this one should be ejected, which
     /// the caller does if the pool's floor allows it.
     pub fn failed(&mut self) -> bool {
         self.failures += 1;
-        self.failures >= FAILURES
+        self.failures >= MAX_FAILURES
     }
 
     /// Puts it out.
     pub fn eject(&mut self, now: clock::Instant) {
-        let out = TIME_OUT.0.saturating_mul(1 << self.rounds.min(16)).min(TIME_OUT.1);
-        self.until = Some(now + out);
-        self.rounds = self.rounds.saturating_add(1);
+        let time = EJECTION_TIME.0.saturating_mul(1 << self.ejections.min(16)).min(EJECTION_TIME.1);
+        self.until = Some(now + time);
+        self.ejections = self.ejections.saturating_add(1);
         self.failures = 0;
         // Its pace is learnt anew when it comes back.
-        self.pace = None;
+        self.latency = None;
     }
 }
 
 /// Whether one more of a pool may be out.
 pub fn floor_allows(pool_size: usize, out: usize) -> bool {
-    let stay = (pool_size as f64 * FLOOR).ceil() as usize;
+    let stay = (pool_size as f64 * MIN_AVAILABLE).ceil() as usize;
     pool_size.saturating_sub(out + 1) >= stay
 }
--- a/decision/src/routing/notice.rs
+++ b/decision/src/routing/notice.rs
@@ -51,7 +51,7 @@
 /// Longest part of a rest by which a gateway comes back later than it may, and
 /// the longest such time: gateways that were refused together come back one
 /// after the other. 300 of them that were asked for 3 s come over 0.75 s.
-const SPREAD: (f64, Duration) = (0.25, Duration::from_secs(1));
+const RETURN_JITTER: (f64, Duration) = (0.25, Duration::from_secs(1));
 
 /// What has changed by a notice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -88,7 +88,7 @@
 
 /// Longest part of a rest that a run takes over from an earlier one: a restart is how
 /// operators end a longer one that was asked for by mistake.
-const LONGEST_INHERITED_REST: Duration = Duration::from_secs(60);
+const MAX_INHERITED_REST: Duration = Duration::from_secs(60);
 
 /// What a run of a backend server has said, as far as it still holds. Only that
 /// run's end or time lifts it: a later answer that says nothing does not.
@@ -105,15 +105,15 @@
 }
 
 impl Standing {
-    /// Takes a notice that was read at that time; `lot`, from 0 to 1, says how
+    /// Takes a notice that was read at that time; `jitter`, from 0 to 1, says how
     /// late within the spread it gets requests again.
-    pub fn take(&mut self, notice: &Notice, lot: f64, now: clock::Instant) -> Option<Change> {
+    pub fn apply(&mut self, notice: &Notice, jitter: f64, now: clock::Instant) -> Option<Change> {
         let leaves = notice.leaving && self.departure != Departure::Announced;
         if notice.leaving {
             self.departure = Departure::Announced;
         }
         let rests = match notice.rest {
-            Rest::For(time) if !time.is_zero() => self.rest(time.min(LONGEST_REST), lot, now),
+            Rest::For(time) if !time.is_zero() => self.rest(time.min(LONGEST_REST), jitter, now),
             Rest::For(_) | Rest::None | Rest::Unreadable => None,
         };
         if leaves { Some(Change::Leaves) } else { rests }
@@ -121,9 +121,10 @@
 
     /// Returns the change where a rest begins; one that is asked for within
     /// another only moves its end, and never forward.
-    fn rest(&mut self, time: Duration, lot: f64, now: clock::Instant) -> Option<Change> {
-        let later = time.mul_f64(SPREAD.0).min(SPREAD.1).mul_f64(lot.clamp(0.0, 1.0));
-        self.until = self.until.max(now + time + later);
+    fn rest(&mut self, time: Duration, jitter: f64, now: clock::Instant) -> Option<Change> {
+        let delay =
+            time.mul_f64(RETURN_JITTER.0).min(RETURN_JITTER.1).mul_f64(jitter.clamp(0.0, 1.0));
+        self.until = self.until.max(now + time + delay);
         self.trial = Trial::Due;
         if self.resting {
             return None;
@@ -147,7 +148,7 @@
     /// Returns whether it is no longer certain that this run stays.
     pub fn inherit(&mut self, earlier: &Standing, now: clock::Instant) -> bool {
         if earlier.rests(now) {
-            self.until = self.until.max(earlier.until.min(now + LONGEST_INHERITED_REST));
+            self.until = self.until.max(earlier.until.min(now + MAX_INHERITED_REST));
             self.trial = Trial::Due;
             self.since = if self.resting { self.since } else { now };
             self.resting = true;
@@ -190,21 +191,21 @@
     }
 
     /// It answers a request that was sent then.
-    pub fn answers(&mut self, sent: clock::Instant) {
+    pub fn answered(&mut self, sent: clock::Instant) {
         if sent >= self.until {
             self.trial = Trial::Passed;
         }
     }
 
     /// A request that was sent then is over, with an answer or without.
-    pub fn over(&mut self, sent: clock::Instant) {
+    pub fn request_ended(&mut self, sent: clock::Instant) {
         if self.trial == Trial::Sent && sent >= self.until {
             self.trial = Trial::Due;
         }
     }
 
     /// Notes the end of a rest: how long it lasted, once.
-    pub fn ended(&mut self, now: clock::Instant) -> Option<Duration> {
+    pub fn end_rest(&mut self, now: clock::Instant) -> Option<Duration> {
         if !self.resting || now < self.until {
             return None;
         }
--- a/decision/src/routing/rate.rs
+++ b/decision/src/routing/rate.rs
@@ -16,28 +16,28 @@
 use crate::{clock, rendezvous};
 
 /// Span over which the users count the requests at a server.
-const SPAN: Duration = Duration::from_secs(4);
-/// Requests within [`SPAN`] that they allow: so many times what the limit allows, and
+const LIMIT_SPAN: Duration = Duration::from_secs(4);
+/// Requests within [`LIMIT_SPAN`] that they allow: so many times what the limit allows, and
 /// so many more.
 const ALLOWED: (f64, f64) = (1.5, 5.0);
 /// Longest time by which requests come closer together on their way: a new connection
 /// takes that long at the most.
-const JITTER: Duration = Duration::from_millis(250);
+const NETWORK_JITTER: Duration = Duration::from_millis(250);
 /// Longest delay of a request that the next one makes up for: requests come when they
 /// come, and waiting ones are looked at now and then.
-const SLACK: Duration = Duration::from_millis(100);
+const MAX_CATCH_UP: Duration = Duration::from_millis(100);
 /// Parts of the limit that its holders use, and all others to hear of its end.
-const PARTS: (f64, f64) = (0.85, 0.15);
+const SHARES: (f64, f64) = (0.85, 0.15);
 /// Part of what the users allow that the holders may send by plan. The rest is for
 /// gateways that take themselves for holders by an older list of gateways.
-const PLANNED: f64 = 0.7;
+const PLANNED_PART: f64 = 0.7;
 /// Time that another gateway's word that a limit is lifted may have been on its way.
-const NEWS_TIME: Duration = Duration::from_secs(2);
+const MAX_NEWS_DELAY: Duration = Duration::from_secs(2);
 /// Time over which gateways that were told so return to the server.
 const RETURN_TIME: Duration = Duration::from_secs(2);
 /// Least rate that is counted with, requests a second: a server that takes none at all
 /// is asked now and then whether it still says so.
-const LEAST_RATE: f64 = 0.05;
+const MIN_RATE: f64 = 0.05;
 
 /// Requests that a backend server takes from all gateways together.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -62,16 +62,17 @@
 
     /// Requests a second that are counted with.
     pub fn usable(self) -> f64 {
-        self.rate().max(LEAST_RATE)
+        self.rate().max(MIN_RATE)
     }
 
     /// How many of so many gateways use the limit: as many as send no more than
     /// planned within any span.
     fn holders(self, gateways: u32) -> u32 {
-        let span = (SPAN + JITTER + SLACK).as_secs_f64();
-        let most = PLANNED * (ALLOWED.0 * self.usable() * SPAN.as_secs_f64() + ALLOWED.1);
+        let span = (LIMIT_SPAN + NETWORK_JITTER + MAX_CATCH_UP).as_secs_f64();
+        let most =
+            PLANNED_PART * (ALLOWED.0 * self.usable() * LIMIT_SPAN.as_secs_f64() + ALLOWED.1);
         let each =
-            |holders: u32| 1.0 + (span * self.usable() * PARTS.0 / f64::from(holders)).floor();
+            |holders: u32| 1.0 + (span * self.usable() * SHARES.0 / f64::from(holders)).floor();
         let fits = |holders: &u32| f64::from(*holders) * each(*holders) <= most;
         (1..=gateways).rev().find(fits).unwrap_or(1)
     }
@@ -143,10 +144,10 @@
             (*peer.zone == *zone, rendezvous::weight(server, &peer.name), peer.name.clone())
         };
         let own = key(&self.own);
-        let mut place = Place { rank: 0, near: u32::from(own.0), all: 1 };
+        let mut place = Place { rank: 0, in_zone: u32::from(own.0), all: 1 };
         for other in self.others.iter().map(key) {
             place.rank += u32::from(other > own);
-            place.near += u32::from(other.0);
+            place.in_zone += u32::from(other.0);
             place.all += 1;
         }
         place
@@ -159,7 +160,7 @@
     /// Its place in their order, from 0.
     pub rank: u32,
     /// Those in the server's zone.
-    pub near: u32,
+    pub in_zone: u32,
     /// All of them.
     pub all: u32,
 }
@@ -178,12 +179,12 @@
 impl Pace {
     fn new(limit: Limit, place: Place) -> Pace {
         // Where there is none in the server's zone, any may be the ones.
-        let near = if place.near == 0 { place.all } else { place.near };
+        let near = if place.in_zone == 0 { place.all } else { place.in_zone };
         let holders = limit.holders(near);
         let holder = place.rank < holders;
         let (part, turn, turns) = match holder {
-            true => (PARTS.0, place.rank, holders),
-            false => (PARTS.1, place.rank - holders, place.all - holders),
+            true => (SHARES.0, place.rank, holders),
+            false => (SHARES.1, place.rank - holders, place.all - holders),
         };
         let step = Duration::from_secs_f64(1.0 / (limit.usable() * part));
         Pace { holder, interval: step * turns, first: step * (turn + 1) }
@@ -197,20 +198,20 @@
     place: Place,
     pace: Pace,
     /// When the last answer was read that named it.
-    heard: clock::Instant,
+    received: clock::Instant,
     /// Since when there has been one.
     since: clock::Instant,
     /// When this gateway last became a holder or ceased to be one.
-    begun: clock::Instant,
+    role_since: clock::Instant,
     /// When its last request was due, or was sent if that was later by more than
-    /// [`SLACK`].
+    /// [`MAX_CATCH_UP`].
     last: Option<clock::Instant>,
 }
 
 impl Quota {
     fn new(limit: Limit, place: Place, now: clock::Instant) -> Quota {
         let pace = Pace::new(limit, place);
-        Quota { limit, place, pace, heard: now, since: now, begun: now, last: None }
+        Quota { limit, place, pace, received: now, since: now, role_since: now, last: None }
     }
 
     /// The limit.
@@ -233,7 +234,7 @@
     /// Answers come out of order. One to a request that was sent after the last
     /// word was heard is surely newer, and replaces it; of others only a lower
     /// limit counts.
-    pub fn hear(
+    pub fn update(
         quota: &mut Option<Quota>,
         notice: Notice,
         place: impl FnOnce() -> Place,
@@ -242,7 +243,7 @@
         match (notice, quota.as_mut()) {
             (Notice::Unknown | Notice::Unreadable, _) | (Notice::Unlimited, None) => None,
             (Notice::Unlimited, Some(known)) => {
-                let (since, newer) = (known.since, sent >= known.heard);
+                let (since, newer) = (known.since, sent >= known.received);
                 newer.then(|| {
                     *quota = None;
                     Change::Lifted(now.since(since))
@@ -254,9 +255,9 @@
             }
             (Notice::Limited(limit), Some(known)) => {
                 let before = known.limit;
-                known.limit = if sent >= known.heard { limit } else { limit.min(before) };
-                known.heard = now;
-                known.settle(now);
+                known.limit = if sent >= known.received { limit } else { limit.min(before) };
+                known.received = now;
+                known.update_pace(now);
                 (known.limit != before).then_some(Change::Limited(known.limit, Some(before)))
             }
         }
@@ -265,13 +266,13 @@
     /// Takes this gateway's place by another list of gateways.
     pub fn set_place(&mut self, place: Place, now: clock::Instant) {
         self.place = place;
-        self.settle(now);
+        self.update_pace(now);
     }
 
     /// Whether another gateway's word that it is lifted may be newer than the last one
     /// that was heard here.
     pub fn may_be_over(&self, now: clock::Instant) -> bool {
-        now.since(self.heard) >= NEWS_TIME
+        now.since(self.received) >= MAX_NEWS_DELAY
     }
 
     /// How long after it was lifted this gateway sends again.
@@ -281,19 +282,19 @@
 
     /// Brings the pace up to limit and place. Who becomes a holder waits as if it had
     /// just heard of the limit: whoever was one before may not know yet.
-    fn settle(&mut self, now: clock::Instant) {
+    fn update_pace(&mut self, now: clock::Instant) {
         let pace = Pace::new(self.limit, self.place);
         if pace.holder != self.pace.holder {
-            self.begun = now;
+            self.role_since = now;
         }
         self.pace = pace;
     }
 
     /// When the next request may go.
     pub fn next(&self) -> clock::Instant {
-        let first = self.begun + self.pace.first;
+        let first = self.role_since + self.pace.first;
         match self.last {
-            Some(last) if last >= self.begun => last + self.pace.interval,
+            Some(last) if last >= self.role_since => last + self.pace.interval,
             Some(last) => first.max(last + self.pace.interval),
             None => first,
         }
@@ -306,6 +307,6 @@
 
     /// A request is sent.
     pub fn sent(&mut self, now: clock::Instant) {
-        self.last = Some(self.next().max(now.before(SLACK)).min(now));
+        self.last = Some(self.next().max(now.before(MAX_CATCH_UP)).min(now));
     }
 }
--- a/decision/src/routing/server.rs
+++ b/decision/src/routing/server.rs
@@ -16,10 +16,10 @@
 pub const REPORT_HALF_LIFE: Duration = Duration::from_millis(1_000);
 
 /// Shortest and longest time without new work after a want of slots.
-pub const SHUT: (Duration, Duration) = (Duration::from_millis(20), Duration::from_millis(320));
+pub const BACK_OFF: (Duration, Duration) = (Duration::from_millis(20), Duration::from_millis(320));
 
 /// Lots that are told apart when gateways come back to one that rested.
-const LOTS: u64 = 1_024;
+const JITTER_STEPS: u64 = 1_024;
 
 /// Load that a backend server tells with an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -98,7 +98,7 @@
     /// Own requests that may be in flight.
     pub window: limit::Window,
     /// It had no slot a moment ago: until then it gets nothing more.
-    shut_until: clock::Instant,
+    back_off_until: clock::Instant,
     /// Refusals for want of a slot since it last answered.
     refusals: u32,
     /// Record of its failures.
@@ -107,8 +107,8 @@
     pub standing: notice::Standing,
     /// The rate limit that it names, where it names one.
     pub quota: Option<rate::Quota>,
-    /// Its turns while it is cold.
-    turns: Option<warmup::Turns>,
+    /// Its schedule while it is cold.
+    schedule: Option<warmup::Schedule>,
 }
 
 impl Record {
@@ -123,12 +123,12 @@
             own_at_report: 0,
             in_flight: 0,
             window: limit::Window::default(),
-            shut_until: clock::Instant::ZERO,
+            back_off_until: clock::Instant::ZERO,
             refusals: 0,
             health: eject::Health::default(),
             standing: notice::Standing::default(),
             quota: None,
-            turns: None,
+            schedule: None,
         }
     }
 
@@ -165,20 +165,23 @@
     /// before what is guessed: one that refuses all looks idle, and would be
     /// chosen before those that have room.
     pub fn open(&self, now: clock::Instant) -> bool {
-        let shut = now < self.shut_until || self.health.ejected(now);
-        let shut = shut || self.turns.is_some_and(|turns| !turns.admits(now));
-        let shut = shut || self.quota.is_some_and(|quota| !quota.admits(now));
-        self.usable() && !shut && self.standing.admits(now) && self.in_flight < self.window.size()
+        let blocked = now < self.back_off_until || self.health.ejected(now);
+        let blocked = blocked || self.schedule.is_some_and(|schedule| !schedule.admits(now));
+        let blocked = blocked || self.quota.is_some_and(|quota| !quota.admits(now));
+        self.usable()
+            && !blocked
+            && self.standing.admits(now)
+            && self.in_flight < self.window.size()
     }
 
-    /// Gives it turns if it has told that it is cold since the last look.
+    /// Gives it schedule if it has told that it is cold since the last look.
     pub fn warm_up(&mut self, share: Share, now: clock::Instant) {
         let Some(cold) = self.listing.cold.filter(|cold| now < cold.until) else {
-            self.turns = None;
+            self.schedule = None;
             return;
         };
-        if self.turns.is_none_or(|turns| turns.cold() != cold) {
-            self.turns = Some(warmup::Turns::new(cold, share, self.hash, now));
+        if self.schedule.is_none_or(|schedule| schedule.cold() != cold) {
+            self.schedule = Some(warmup::Schedule::new(cold, share, self.hash, now));
         }
     }
 
@@ -186,8 +189,8 @@
     pub fn sent(&mut self, now: clock::Instant) {
         self.in_flight += 1;
         self.standing.sent();
-        if let Some(turns) = &mut self.turns {
-            turns.sent(now);
+        if let Some(schedule) = &mut self.schedule {
+            schedule.sent(now);
         }
         if let Some(quota) = &mut self.quota {
             quota.sent(now);
@@ -207,33 +210,33 @@
     pub fn lift(&mut self, born: Option<u64>, now: clock::Instant) -> Option<Duration> {
         let quota = self.quota.filter(|quota| self.is_run(born) && quota.may_be_over(now))?;
         self.quota = None;
-        self.shut_until = self.shut_until.max(now + quota.return_after());
+        self.back_off_until = self.back_off_until.max(now + quota.return_after());
         Some(now.since(quota.since()))
     }
 
     /// Takes what it says of its own near future.
-    pub fn notice(
+    pub fn apply_notice(
         &mut self,
         notice: &notice::Notice,
         now: clock::Instant,
     ) -> Option<notice::Change> {
-        let lot = ((self.hash ^ now.micros()) % LOTS) as f64 / LOTS as f64;
-        self.standing.take(notice, lot, now)
+        let jitter = ((self.hash ^ now.micros()) % JITTER_STEPS) as f64 / JITTER_STEPS as f64;
+        self.standing.apply(notice, jitter, now)
     }
 
     /// It had no slot: it gets nothing more for a while, which doubles with each
     /// time. Hundreds of entry hosts before few slots would otherwise send
     /// far more attempts than requests.
-    pub fn shut(&mut self, now: clock::Instant) {
-        let pause = SHUT.0.saturating_mul(1 << self.refusals.min(16)).min(SHUT.1);
+    pub fn back_off(&mut self, now: clock::Instant) {
+        let pause = BACK_OFF.0.saturating_mul(1 << self.refusals.min(16)).min(BACK_OFF.1);
         // Entry hosts that were refused together come back apart.
-        let part = 50 + (self.hash ^ now.micros()) % 51;
-        self.shut_until = now + pause * part as u32 / 100;
+        let percent = 50 + (self.hash ^ now.micros()) % 51;
+        self.back_off_until = now + pause * percent as u32 / 100;
         self.refusals += 1;
     }
 
     /// It answered: slots come free.
-    pub fn reopen(&mut self) {
+    pub fn ease_back_off(&mut self) {
         self.refusals /= 2;
     }
 
@@ -261,7 +264,7 @@
     }
 
     /// Takes a report; a late one is dropped.
-    pub fn take(&mut self, report: Report, now: clock::Instant) -> bool {
+    pub fn apply_report(&mut self, report: Report, now: clock::Instant) -> bool {
         let newer =
             (report.incarnation, report.sequence) > (self.report.incarnation, self.report.sequence);
         if !newer {
@@ -342,11 +345,12 @@
         earlier: entity::Server,
         now: clock::Instant,
     ) -> bool {
-        let (said, quota) = (self.records[earlier].standing.clone(), self.records[earlier].quota);
+        let (standing, quota) =
+            (self.records[earlier].standing.clone(), self.records[earlier].quota);
         let record = &mut self.records[server];
         // The limit may be the new run's; its first answer tells.
         record.quota = record.quota.or(quota);
-        record.standing.inherit(&said, now)
+        record.standing.inherit(&standing, now)
     }
 
     /// The newest run of the backend server on that host.
@@ -371,7 +375,7 @@
         }
     }
 
-    /// Gives turns to those that have told that they are cold.
+    /// Gives schedule to those that have told that they are cold.
     pub fn warm_up(&mut self, share: Share, now: clock::Instant) {
         let listed = self.records.values_mut().filter(|record| record.listed);
         listed.for_each(|record| record.warm_up(share, now));
--- a/decision/tests/limits.rs
+++ b/decision/tests/limits.rs
@@ -67,7 +67,7 @@
                 quota.sent(now);
             }
             let place = || place(self.number, listed.iter().copied(), zones);
-            Quota::hear(&mut self.quota, Notice::Limited(rate), place, (now, now));
+            Quota::update(&mut self.quota, Notice::Limited(rate), place, (now, now));
             self.told.get_or_insert(now);
         }
         goes
@@ -190,13 +190,13 @@
     // A zone without gateways is served by those of others.
     let far = Peers::new(peer(1, 3), [peer(2, 3), peer(4, 3)]).place(SERVER, ZONE);
     let mut quota = None;
-    Quota::hear(&mut quota, Notice::Limited(limit(1.0)), || far, (at(0), at(0)));
+    Quota::update(&mut quota, Notice::Limited(limit(1.0)), || far, (at(0), at(0)));
     assert!(quota.unwrap().pace().holder);
 }
 
 /// What an answer says to a request that was sent then, read at that time.
 fn hear(quota: &mut Option<Quota>, notice: Notice, sent: u64, read: u64) -> Option<Change> {
-    Quota::hear(quota, notice, || place(0, 0..1, 1), (at(sent), at(read)))
+    Quota::update(quota, notice, || place(0, 0..1, 1), (at(sent), at(read)))
 }
 
 #[test]
--- a/decision/tests/poison.rs
+++ b/decision/tests/poison.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use loftcove_decision::poison::{
-    Digest, Finished, Item, KEPT, Ledger, Lookout, Mark, SETTLED, Standing,
+    Burst, Digest, Finished, Item, Ledger, Mark, RETENTION, SETTLE_TIME, Standing,
 };
 use loftcove_decision::{clock, fleet, poison};
 use proptest::prelude::*;
@@ -38,7 +38,7 @@
         for name in *names {
             let mark = if name.starts_with('*') { Mark::Alone } else { Mark::Suspect };
             let item = item(*server, name.trim_start_matches('*'), mark);
-            assert!(ledger.take(&item, NOW));
+            assert!(ledger.merge(&item, NOW));
         }
     }
     assert_eq!(ledger.verify(), Ok(()));
@@ -50,7 +50,7 @@
     let ledger = ledger(&[(1, &["guilty", "a", "b"])]);
     assert_eq!(ledger.standing(request("guilty")), Standing::Suspect(1));
     assert_eq!(ledger.standing(request("other")), Standing::Sound);
-    assert_eq!(ledger.convicted().count(), 0);
+    assert_eq!(ledger.refused().count(), 0);
 }
 
 #[test]
@@ -60,7 +60,7 @@
     assert_eq!(ledger.standing(request("guilty")), Standing::Suspect(2));
     assert!(ledger.awaits(request("guilty"), NOW));
     ledger.clear(request("c"));
-    assert_eq!(ledger.standing(request("guilty")), Standing::Convicted(2));
+    assert_eq!(ledger.standing(request("guilty")), Standing::Refused(2));
     // The others are no suspects any more: both ends are explained. Until one has
     // come to its end it runs apart all the same.
     for other in ["a", "b"] {
@@ -77,11 +77,11 @@
 fn who_was_cut_by_two_others_is_not_refused_for_it() {
     let mut ledger = ledger(&[(1, &["x", "proper", "a"]), (2, &["y", "proper", "b"])]);
     assert_eq!(ledger.standing(request("proper")), Standing::Suspect(2));
-    assert_eq!(ledger.convicted().count(), 0);
+    assert_eq!(ledger.refused().count(), 0);
     // Each of the others ends one more server as the only suspect there.
     for (server, name) in [(3, "x"), (4, "y")] {
-        ledger.take(&item(server, name, Mark::Alone), NOW);
-        assert_eq!(ledger.standing(request(name)), Standing::Convicted(2));
+        ledger.merge(&item(server, name, Mark::Alone), NOW);
+        assert_eq!(ledger.standing(request(name)), Standing::Refused(2));
     }
     assert_eq!(ledger.standing(request("proper")), Standing::Sound);
 }
@@ -92,10 +92,10 @@
 fn a_new_request_beside_the_suspect_does_not_have_it_refused() {
     let mut ledger = ledger(&[(1, &["x", "proper"]), (2, &["*proper", "new"])]);
     assert_eq!(ledger.standing(request("proper")), Standing::Suspect(2));
-    assert_eq!(ledger.convicted().count(), 0);
+    assert_eq!(ledger.refused().count(), 0);
     assert!(ledger.awaits(request("proper"), NOW) && !ledger.awaits(request("new"), NOW));
-    ledger.take(&item(3, "new", Mark::Alone), NOW);
-    assert_eq!(ledger.standing(request("new")), Standing::Convicted(2));
+    ledger.merge(&item(3, "new", Mark::Alone), NOW);
+    assert_eq!(ledger.standing(request("new")), Standing::Refused(2));
     assert_eq!(ledger.standing(request("proper")), Standing::Suspect(1));
     assert!(!ledger.awaits(request("proper"), NOW), "it is known who it was");
 }
@@ -114,34 +114,34 @@
 fn an_end_proves_nothing_before_all_have_told_of_it() {
     let mut ledger = ledger(&[(1, &["guilty", "proper"])]);
     let later = |name| Item { at: at(2_000), ..item(2, name, Mark::Alone) };
-    ledger.take(&later("proper"), at(2_010));
+    ledger.merge(&later("proper"), at(2_010));
     assert_eq!(ledger.standing(request("proper")), Standing::Suspect(2));
-    ledger.take(&later("guilty"), at(2_020));
-    ledger.expire(at(2_000) + SETTLED);
-    assert_eq!(ledger.convicted().count(), 0);
+    ledger.merge(&later("guilty"), at(2_020));
+    ledger.expire(at(2_000) + SETTLE_TIME);
+    assert_eq!(ledger.refused().count(), 0);
     // The guilty one ends a third server.
-    ledger.take(&Item { at: at(3_000), ..item(3, "guilty", Mark::Alone) }, at(3_010));
-    assert_eq!(ledger.convicted().count(), 0);
-    ledger.expire(at(3_000) + SETTLED);
-    assert_eq!(ledger.standing(request("guilty")), Standing::Convicted(3));
+    ledger.merge(&Item { at: at(3_000), ..item(3, "guilty", Mark::Alone) }, at(3_010));
+    assert_eq!(ledger.refused().count(), 0);
+    ledger.expire(at(3_000) + SETTLE_TIME);
+    assert_eq!(ledger.standing(request("guilty")), Standing::Refused(3));
     assert_eq!(ledger.standing(request("proper")), Standing::Sound);
 }
 
 #[test]
 fn a_proof_holds_once_it_has_settled() {
     let mut ledger = ledger(&[(1, &["guilty", "a"])]);
-    ledger.take(&Item { at: at(2_000), ..item(2, "guilty", Mark::Alone) }, at(2_010));
+    ledger.merge(&Item { at: at(2_000), ..item(2, "guilty", Mark::Alone) }, at(2_010));
     assert_eq!(ledger.standing(request("guilty")), Standing::Suspect(2));
     assert!(ledger.unsettled(at(2_100)));
-    ledger.expire(at(2_000) + SETTLED);
-    assert_eq!(ledger.standing(request("guilty")), Standing::Convicted(2));
+    ledger.expire(at(2_000) + SETTLE_TIME);
+    assert_eq!(ledger.standing(request("guilty")), Standing::Refused(2));
 }
 
 /// Two gateways each sent one suspect to the same server.
 #[test]
 fn two_that_were_sent_to_one_server_prove_nothing() {
     let ledger = ledger(&[(1, &["x", "y"]), (2, &["*x", "*y"])]);
-    assert_eq!(ledger.convicted().count(), 0);
+    assert_eq!(ledger.refused().count(), 0);
 }
 
 #[test]
@@ -149,8 +149,8 @@
     let mut ledger = ledger(&[(1, &["guilty", "a"]), (2, &["guilty", "a"])]);
     assert_eq!(ledger.standing(request("guilty")), Standing::Suspect(2));
     assert_eq!(ledger.standing(request("a")), Standing::Suspect(2));
-    ledger.take(&item(3, "guilty", Mark::Suspect), NOW);
-    assert_eq!(ledger.standing(request("guilty")), Standing::Convicted(3));
+    ledger.merge(&item(3, "guilty", Mark::Suspect), NOW);
+    assert_eq!(ledger.standing(request("guilty")), Standing::Refused(3));
     assert_eq!(ledger.standing(request("a")), Standing::Sound);
 }
 
@@ -159,7 +159,7 @@
     let mut ledger = ledger(&[(1, &["guilty", "a"]), (2, &["guilty", "a"])]);
     assert_eq!(ledger.clear(request("a")).len(), 2);
     assert_eq!(ledger.standing(request("a")), Standing::Sound);
-    assert_eq!(ledger.standing(request("guilty")), Standing::Convicted(2));
+    assert_eq!(ledger.standing(request("guilty")), Standing::Refused(2));
     assert_eq!(ledger.clear(request("a")), []);
 }
 
@@ -167,12 +167,12 @@
 fn several_that_end_servers_at_the_same_time_are_each_found() {
     let mut ledger =
         ledger(&[(1, &["x", "a"]), (2, &["y", "b"]), (3, &["*y", "c"]), (4, &["*x", "d"])]);
-    assert_eq!(ledger.convicted().count(), 0);
+    assert_eq!(ledger.refused().count(), 0);
     for new in ["c", "d"] {
         ledger.clear(request(new));
     }
     for guilty in ["x", "y"] {
-        assert_eq!(ledger.standing(request(guilty)), Standing::Convicted(2), "{guilty}");
+        assert_eq!(ledger.standing(request(guilty)), Standing::Refused(2), "{guilty}");
     }
     assert_eq!(ledger.standing(request("a")), Standing::Sound);
 }
@@ -180,7 +180,7 @@
 #[test]
 fn the_third_end_counts_whoever_else_was_there() {
     let ledger = ledger(&[(1, &["guilty", "a"]), (2, &["guilty", "a"]), (3, &["guilty", "b"])]);
-    assert_eq!(ledger.standing(request("guilty")), Standing::Convicted(3));
+    assert_eq!(ledger.standing(request("guilty")), Standing::Refused(3));
     assert_eq!(ledger.standing(request("a")), Standing::Sound);
 }
 
@@ -190,12 +190,12 @@
 fn two_that_were_on_the_same_three_servers_are_told_apart_by_the_next_end() {
     let all: &[&str] = &["*guilty", "*proper"];
     let mut ledger = ledger(&[(1, all), (2, all), (3, all)]);
-    assert_eq!(ledger.convicted().count(), 0);
+    assert_eq!(ledger.refused().count(), 0);
     for name in ["guilty", "proper"] {
         assert!(ledger.awaits(request(name), NOW) || ledger.apart(request(name)));
     }
-    ledger.take(&item(4, "guilty", Mark::Alone), NOW);
-    assert_eq!(ledger.standing(request("guilty")), Standing::Convicted(4));
+    ledger.merge(&item(4, "guilty", Mark::Alone), NOW);
+    assert_eq!(ledger.standing(request("guilty")), Standing::Refused(4));
     assert_eq!(ledger.standing(request("proper")), Standing::Sound);
 }
 
@@ -203,7 +203,7 @@
 fn the_fourth_end_counts_in_any_case() {
     let all: &[&str] = &["guilty", "a"];
     let ledger = ledger(&[(1, all), (2, all), (3, all), (4, all)]);
-    assert_eq!(ledger.standing(request("guilty")), Standing::Convicted(4));
+    assert_eq!(ledger.standing(request("guilty")), Standing::Refused(4));
 }
 
 /// The pattern: one gateway has heard of its own request on the third server, and not yet of
@@ -213,17 +213,17 @@
     let both: &[&str] = &["guilty", "proper"];
     let mut ledger = ledger(&[(1, both), (2, both)]);
     let third = |name| Item { at: at(2_000), ..item(3, name, Mark::Alone) };
-    ledger.take(&third("proper"), at(2_000));
+    ledger.merge(&third("proper"), at(2_000));
     assert_eq!(ledger.standing(request("proper")), Standing::Suspect(3));
-    ledger.take(&third("guilty"), at(2_020));
-    ledger.expire(at(2_000) + SETTLED);
-    assert_eq!(ledger.convicted().count(), 0);
+    ledger.merge(&third("guilty"), at(2_020));
+    ledger.expire(at(2_000) + SETTLE_TIME);
+    assert_eq!(ledger.refused().count(), 0);
 }
 
 #[test]
 fn the_end_of_one_run_counts_once_however_often_it_is_told() {
     let mut ledger = ledger(&[(1, &["a"])]);
-    assert!(!ledger.take(&item(1, "a", Mark::Suspect), at(1_500)));
+    assert!(!ledger.merge(&item(1, "a", Mark::Suspect), at(1_500)));
     assert_eq!(ledger.standing(request("a")), Standing::Suspect(1));
 }
 
@@ -237,9 +237,9 @@
         at: at(2_000),
         ..item(2, name, Mark::Alone)
     };
-    ledger.take(&on("x", 1), at(2_400));
-    ledger.take(&on("y", 2), at(2_400));
-    assert_eq!(ledger.convicted().count(), 0);
+    ledger.merge(&on("x", 1), at(2_400));
+    ledger.merge(&on("y", 2), at(2_400));
+    assert_eq!(ledger.refused().count(), 0);
 }
 
 /// The pattern: a server starts again under its id and ends again, before its
@@ -249,10 +249,10 @@
     let mut ledger = ledger(&[(1, &["guilty", "a"])]);
     let again = |ms| Item { at: at(ms), ..item(1, "guilty", Mark::Suspect) };
     // Another gateway found the same end a little later.
-    assert!(!ledger.take(&again(1_400), at(1_400)));
+    assert!(!ledger.merge(&again(1_400), at(1_400)));
     assert_eq!(ledger.standing(request("guilty")), Standing::Suspect(1));
-    assert!(ledger.take(&again(2_600), at(2_600) + SETTLED));
-    assert_eq!(ledger.standing(request("guilty")), Standing::Convicted(2));
+    assert!(ledger.merge(&again(2_600), at(2_600) + SETTLE_TIME));
+    assert_eq!(ledger.standing(request("guilty")), Standing::Refused(2));
     assert_eq!(ledger.standing(request("a")), Standing::Sound);
     assert_eq!(ledger.clear(request("guilty")).len(), 2);
 }
@@ -260,8 +260,8 @@
 #[test]
 fn ends_are_forgotten() {
     let mut ledger = ledger(&[(1, &["guilty"]), (2, &["guilty"])]);
-    let later = at(1_000) + KEPT;
-    assert!(!ledger.take(&item(3, "guilty", Mark::Suspect), later));
+    let later = at(1_000) + RETENTION;
+    assert!(!ledger.merge(&item(3, "guilty", Mark::Suspect), later));
     ledger.expire(later);
     assert!(ledger.is_empty());
     assert_eq!(ledger.standing(request("guilty")), Standing::Sound);
@@ -273,27 +273,27 @@
 fn a_flood_of_ends_neither_grows_nor_frees() {
     let mut ledger = ledger(&[(1, &["guilty"]), (2, &["guilty"])]);
     for server in 10..1_000 {
-        ledger.take(&item(server, &format!("new-{server}"), Mark::Suspect), NOW);
+        ledger.merge(&item(server, &format!("new-{server}"), Mark::Suspect), NOW);
     }
     for number in 0..1_000 {
-        ledger.take(&item(3, &format!("crowd-{number}"), Mark::Suspect), NOW);
+        ledger.merge(&item(3, &format!("crowd-{number}"), Mark::Suspect), NOW);
     }
     assert_eq!(ledger.verify(), Ok(()));
-    assert_eq!(ledger.standing(request("guilty")), Standing::Convicted(2));
+    assert_eq!(ledger.standing(request("guilty")), Standing::Refused(2));
 }
 
 /// The pattern: a zone is cut off with resets, and a gateway finds all its
 /// backend servers beyond the cut ended in the same moment.
 #[test]
 fn many_ends_at_once_are_blamed_on_no_request() {
-    let mut lookout = Lookout::default();
+    let mut burst = Burst::default();
     for server in 1..=4 {
-        assert_eq!(lookout.found(&run(server), at(10)), None);
+        assert_eq!(burst.found(&run(server), at(10)), None);
     }
-    assert_eq!(lookout.found(&run(5), at(60)).unwrap().len(), 5);
-    assert_eq!(lookout.found(&run(6), at(60) + Duration::from_secs(1)), None);
+    assert_eq!(burst.found(&run(5), at(60)).unwrap().len(), 5);
+    assert_eq!(burst.found(&run(6), at(60) + Duration::from_secs(1)), None);
     let mut ledger = ledger(&[(1, &["a", "b"]), (2, &["a"])]);
-    assert_eq!(ledger.explain(&[run(1), run(2)]).len(), 3);
+    assert_eq!(ledger.clear_runs(&[run(1), run(2)]).len(), 3);
     assert_eq!(ledger.standing(request("a")), Standing::Sound);
 }
 
@@ -353,10 +353,10 @@
         }
         let (mut one, mut two) = (Ledger::default(), Ledger::default());
         for item in &items {
-            one.take(item, NOW);
+            one.merge(item, NOW);
         }
         for item in other.iter().chain(&items) {
-            two.take(item, NOW);
+            two.merge(item, NOW);
         }
         prop_assert_eq!(one.verify(), Ok(()));
         for name in ["a", "b", "c", "d", "e"] {
@@ -377,7 +377,7 @@
         let mut all: BTreeMap<u32, BTreeSet<usize>> = BTreeMap::new();
         for (server, name, tried) in rows {
             let mark = if tried { Mark::Alone } else { Mark::Suspect };
-            ledger.take(&item(server, ["a", "b", "c", "d", "e"][name], mark), NOW);
+            ledger.merge(&item(server, ["a", "b", "c", "d", "e"][name], mark), NOW);
             on.entry(name).or_default().insert(server);
             all.entry(server).or_default().insert(name);
         }
@@ -387,7 +387,7 @@
         };
         for (name, servers) in &on {
             let standing = ledger.standing(request(["a", "b", "c", "d", "e"][*name]));
-            if let Standing::Convicted(ends) = standing {
+            if let Standing::Refused(ends) = standing {
                 let proof = |server: &u32| only(&all, server, *name);
                 prop_assert!(ends >= 3 || ends == 2 && servers.iter().any(proof));
                 let ground = ledger.verdict(request(["a", "b", "c", "d", "e"][*name])).unwrap().ground;
--- a/decision/tests/runs.rs
+++ b/decision/tests/runs.rs
@@ -98,7 +98,7 @@
     assert_ne!(old, new);
     let record = &setup.balancer.servers()[new];
     assert!(record.open(setup.now));
-    assert_eq!((record.in_flight, record.health.pace()), (0, None));
+    assert_eq!((record.in_flight, record.health.latency()), (0, None));
     assert!(!setup.balancer.servers()[old].usable(), "the earlier run gets nothing");
     assert_eq!(setup.balancer.servers()[old].in_flight, 1);
 
--- a/decision/tests/warmup.rs
+++ b/decision/tests/warmup.rs
@@ -7,7 +7,7 @@
 
 use loftcove_decision::balancer::Share;
 use loftcove_decision::clock;
-use loftcove_decision::routing::warmup::{Cold, Turns};
+use loftcove_decision::routing::warmup::{Cold, Schedule};
 use proptest::prelude::*;
 
 /// Requests a second that the server can serve, and those that the users allow.
@@ -17,20 +17,20 @@
 const BEGIN: clock::Instant = clock::Instant::from_micros(10_000_000);
 
 /// When the server gets requests from gateways that would send one each
-/// millisecond, from `rush` on; each heard of it that much later.
+/// millisecond, from `rush` on; each received of it that much later.
 fn arrivals(late_ms: &[u64], rush: Duration) -> Vec<clock::Instant> {
     let of = late_ms.len() as u32;
     let cold = Cold { until: BEGIN + COLD, rate: RATE };
-    let turns = |(number, late): (usize, &u64)| {
-        let heard = BEGIN + Duration::from_millis(*late);
-        Turns::new(cold, Share { number: number as u32, of }, 7, heard)
+    let schedule = |(number, late): (usize, &u64)| {
+        let received = BEGIN + Duration::from_millis(*late);
+        Schedule::new(cold, Share { number: number as u32, of }, 7, received)
     };
-    let mut gateways: Vec<Turns> = late_ms.iter().enumerate().map(turns).collect();
+    let mut schedules: Vec<Schedule> = late_ms.iter().enumerate().map(schedule).collect();
     let mut arrivals = Vec::new();
     let mut now = BEGIN + rush;
     while now < cold.until {
-        for turns in gateways.iter_mut().filter(|turns| turns.admits(now)) {
-            turns.sent(now);
+        for schedule in schedules.iter_mut().filter(|schedule| schedule.admits(now)) {
+            schedule.sent(now);
             arrivals.push(now);
         }
         now = now + Duration::from_millis(1);
@@ -38,7 +38,7 @@
     arrivals
 }
 
-fn most_in_a_second(arrivals: &[clock::Instant]) -> usize {
+fn max_in_one_second(arrivals: &[clock::Instant]) -> usize {
     let within = |first: &clock::Instant| {
         arrivals
             .iter()
@@ -56,7 +56,7 @@
         rush_ms in 0_u64..3_000,
     ) {
         let arrivals = arrivals(&late_ms, Duration::from_millis(rush_ms));
-        let most = most_in_a_second(&arrivals);
+        let most = max_in_one_second(&arrivals);
         prop_assert!(most <= ALLOWED, "{most} in a second from {} gateways", late_ms.len());
     }
 }
@@ -75,7 +75,7 @@
 #[test]
 fn a_warm_server_gets_all() {
     let cold = Cold { until: BEGIN + COLD, rate: RATE };
-    let turns = Turns::new(cold, Share { number: 29, of: 30 }, 7, BEGIN);
-    assert!(!turns.admits(BEGIN));
-    assert!(turns.admits(BEGIN + COLD));
+    let schedule = Schedule::new(cold, Share { number: 29, of: 30 }, 7, BEGIN);
+    assert!(!schedule.admits(BEGIN));
+    assert!(schedule.admits(BEGIN + COLD));
 }
--- a/gateway/src/flow.rs
+++ b/gateway/src/flow.rs
@@ -72,7 +72,7 @@
     // A request that is overdue by then is answered by the dispatcher.
     let settled = gateway.mirror.ends.settled(request.digest);
     let _in_time = tokio::time::timeout_at(request.due.timer(), settled).await;
-    if let poison::Standing::Convicted(ends) = gateway.mirror.ends.standing(request.digest) {
+    if let poison::Standing::Refused(ends) = gateway.mirror.ends.standing(request.digest) {
         log::info!("request ends servers request={id} digest={} ends={ends}", request.digest);
         return Err(refused(Refusal::EndsServers));
     }
--- a/mirror/src/ends.rs
+++ b/mirror/src/ends.rs
@@ -12,7 +12,7 @@
 
 use loftcove_clock as boot;
 use loftcove_decision::poison::{
-    Abandoned, Digest, Finished, Item, Ledger, Lookout, Mark, SETTLED, Standing,
+    Abandoned, Burst, Digest, Finished, Item, Ledger, Mark, SETTLE_TIME, Standing,
 };
 use loftcove_decision::revision::Revision;
 use loftcove_decision::{clock, fleet, mirror};
@@ -47,7 +47,7 @@
 #[derive(Default)]
 struct State {
     ledger: Ledger,
-    lookout: Lookout,
+    burst: Burst,
     finished: Finished,
     abandoned: Abandoned,
     /// Requests under which this process itself saw a server end.
@@ -65,7 +65,7 @@
 
     /// Logs each request that is refused from now on or no longer, with the evidence.
     fn log_refusals(&mut self, now: clock::Instant) {
-        let convicted: BTreeSet<Digest> = self.ledger.convicted().collect();
+        let convicted: BTreeSet<Digest> = self.ledger.refused().collect();
         for digest in convicted.difference(&self.refused) {
             let Some(verdict) = self.ledger.verdict(*digest) else { continue };
             let evidence = self.ledger.evidence(*digest, now);
@@ -112,7 +112,7 @@
         let now = self.now();
         let mut state = self.lock();
         state.own.insert(digest);
-        let many = state.lookout.found(run, now);
+        let many = state.burst.found(run, now);
         drop(state);
         let Some(runs) = many else {
             let mark = if alone { Mark::Alone } else { Mark::Suspect };
@@ -121,7 +121,7 @@
         };
         log::info!("ends not blamed on requests servers={} reason=many-at-once", runs.len());
         let mut state = self.lock();
-        let cleared = state.ledger.explain(&runs);
+        let cleared = state.ledger.clear_runs(&runs);
         state.log_refusals(now);
         drop(state);
         self.tell(cleared);
@@ -173,7 +173,7 @@
     /// may have ended a server a moment ago is not sent again before.
     pub async fn settled(&self, digest: Digest) {
         while self.awaits(digest) {
-            tokio::time::sleep(SETTLED / 10).await;
+            tokio::time::sleep(SETTLE_TIME / 10).await;
         }
     }
 
@@ -187,7 +187,7 @@
         let now = self.now();
         let mut state = self.lock();
         state.expire(now);
-        state.ledger.convicted().collect()
+        state.ledger.refused().collect()
     }
 
     /// Waits until a request is refused; returns the servers that it ended.
@@ -195,10 +195,10 @@
         let mut changes = self.changes.subscribe();
         loop {
             changes.borrow_and_update();
-            if let Standing::Convicted(ends) = self.standing(digest) {
+            if let Standing::Refused(ends) = self.standing(digest) {
                 return ends;
             }
-            let settled = tokio::time::sleep(SETTLED);
+            let settled = tokio::time::sleep(SETTLE_TIME);
             tokio::select! {
                 changed = changes.changed() => {
                     if changed.is_err() {
@@ -217,7 +217,7 @@
         let mut news = Vec::new();
         for item in items {
             let before = state.ledger.standing(item.digest);
-            if !state.ledger.take(&item, now) {
+            if !state.ledger.merge(&item, now) {
                 continue;
             }
             let mut told = vec![item.clone()];
@@ -227,7 +227,7 @@
                     blamed.digest,
                     blamed.run.id
                 );
-                if state.ledger.take(&blamed, now) {
+                if state.ledger.merge(&blamed, now) {
                     told.push(blamed);
                 }
             }
@@ -314,7 +314,7 @@
     let (state, ends) = match standing {
         Standing::Sound => ("sound", 0),
         Standing::Suspect(ends) => ("suspect", ends),
-        Standing::Convicted(ends) => ("refused", ends),
+        Standing::Refused(ends) => ("refused", ends),
     };
     log::info!(
         "server ended digest={} server={} alone={} standing={state} ends={ends} from={from}",
@@ -462,7 +462,7 @@
         let entry = Entry { ends: ended.collect() };
         let value = serde_json::to_vec(&entry)
             .map_err(|error| store::Error::Protocol { status: 0, reason: error.to_string() })?;
-        let lease = store.grant(loftcove_decision::poison::KEPT).await?;
+        let lease = store.grant(loftcove_decision::poison::RETENTION).await?;
         let write = store::Write {
             key: format!("{}{digest}", prefix()).into(),
             value: Some(value.into()),
--- a/mirror/tests/ends.rs
+++ b/mirror/tests/ends.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use loftcove_decision::poison::{Digest, KEPT, SETTLED, Standing};
+use loftcove_decision::poison::{Digest, RETENTION, SETTLE_TIME, Standing};
 use loftcove_decision::revision::Revision;
 use loftcove_decision::{fleet, mirror};
 use loftcove_interface::store::Lease;
@@ -153,7 +153,7 @@
         (write.expected, write.lease),
         (Some(Revision::ZERO), Some(Lease { era: 0, id: 1 }))
     );
-    assert_eq!(store.seen().grants, [KEPT, KEPT], "the first one is lost");
+    assert_eq!(store.seen().grants, [RETENTION, RETENTION], "the first one is lost");
     let record =
         mirror::Record { key: write.key, revision: Revision::new(0, 5), value: write.value };
     let alone: Arc<Mirror> = Arc::default();
@@ -164,7 +164,7 @@
     let spoilt =
         mirror::Record { value: Some("{".into()), revision: Revision::new(0, 6), ..record };
     alone.apply(vec![spoilt], Source::Store);
-    assert_eq!(alone.ends.standing(guilty()), Standing::Convicted(2));
+    assert_eq!(alone.ends.standing(guilty()), Standing::Refused(2));
 }
 
 #[tokio::test]
@@ -197,10 +197,10 @@
     assert_eq!(refuses(&second).await, 2);
     first.ends.abandon(&run(3), guilty(), Duration::from_secs(2));
     first.ends.found(&run(3), proper, true);
-    holds(&second, Standing::Convicted(3)).await;
-    tokio::time::sleep(SETTLED).await;
+    holds(&second, Standing::Refused(3)).await;
+    tokio::time::sleep(SETTLE_TIME).await;
     for host in [&first, &second] {
         assert_eq!(host.ends.standing(proper), Standing::Sound);
-        assert_eq!(host.ends.standing(guilty()), Standing::Convicted(3));
+        assert_eq!(host.ends.standing(guilty()), Standing::Refused(3));
     }
 }
