--- a/decision/src/poison.rs
+++ b/decision/src/poison.rs
@@ -1,29 +1,33 @@
-//! Requests that end the backend servers that run them.
+//! Detection of poison requests: requests that end the backend servers that run them.
 //!
-//! The pattern: a backend server ends under a request, and its caller asks
-//! again, at any gateway. Each end takes all requests of that server along,
-//! and in a lock-step group those of all ranks, for seconds. Without a count
-//! over all tries, one request ended as many servers as its caller had
-//! patience for: eight, in a group that then served 46% of a minute and a half.
+//! The *end* of a server is the unplanned exit of one run of its process. When a
+//! server ends under a request, the client retries the request at any gateway. Each
+//! end fails all requests on that server, and in a lock-step group the requests of all
+//! ranks, for seconds. Without a count across attempts, one request ended a server with
+//! each retry of its client: eight servers, in a group that then served 46% of a minute
+//! and a half.
 //!
-//! What is counted are servers that ended, by the requests that were on them
-//! ([`Ledger`]). Up to a few dozen are on one at a time, and one of them is to
-//! blame at the most, so a single end makes suspects and no more. Where a suspect
-//! runs next is arranged so that it tells more ([`crate::balancer`]): as the only
-//! suspect there. A request is refused when it was on two servers that ended, on
-//! one of them as the only request that has not come to its end elsewhere; at the
-//! third if nobody else was on as many, at the fourth in any case. Counting alone
-//! would refuse those that were cut by two others. What is blamed on one request
-//! is not counted against others, and a request that comes to its end anywhere is
-//! cleared.
+//! The [`Ledger`] records the servers that ended and the requests that were on them. A
+//! server runs up to a few dozen requests at a time, and at most one of them ended it,
+//! so a single end only makes its requests suspects. The balancer
+//! ([`crate::balancer`]) places each suspect as the only suspect on a server, so that
+//! the next end is better evidence. A request is refused
 //!
-//! Gateways tell each other of single [`Item`]s. Merging takes the higher mark,
-//! so that it does not matter in which order and how often they come.
+//! - after two ends, if it was on one of the two servers as the only request that has
+//!   not completed elsewhere;
+//! - after three ends, if no other request was on as many;
+//! - after four ends in any case.
+//!
+//! A plain count would also refuse requests that were interrupted by two different
+//! poison requests. An end that is attributed to one request does not count against
+//! others. A request that completes anywhere is cleared.
+//!
+//! Gateways exchange single [`Item`]s. A merge keeps the higher mark, so the result does
+//! not depend on the order of items or on duplicates.
 
 mod abandoned;
 mod burst;
 mod finished;
-
 mod verdict;
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -35,48 +39,50 @@
 pub use self::abandoned::Abandoned;
 pub use self::burst::Burst;
 pub use self::finished::Finished;
-
 pub use self::verdict::{Evidence, Ground, Verdict};
 use crate::{clock, fleet};
 
-/// Bytes of a digest: two requests share one by chance once in 2^64 of them.
+/// Length of a digest in bytes; 2^64 requests are expected before two share a digest.
 const DIGEST_BYTES: usize = 16;
 
-/// Ends from which a request is refused that one of them proves.
+/// Number of ends at which a request is refused if one of them proves that it is the
+/// cause.
 const PROVEN_ENDS: u32 = 2;
-/// Ends from which it is refused whoever else was there, if nobody was on as many.
+/// Number of ends at which a request is refused if no other request was on as many,
+/// whichever other requests were on these servers.
 const LEADING_ENDS: u32 = 3;
-/// Ends from which it is refused in any case.
+/// Number of ends at which a request is refused in any case.
 const CERTAIN_ENDS: u32 = 4;
-/// Time from an end until what is known of it proves anything: gateways find it up
-/// to 0.25 s apart, and until all have told, whoever is known to have been there
-/// seems to have been alone.
+/// Time after an end before it counts as proof. Gateways detect an end up to 0.25 s
+/// apart; until all of them have reported, a request that is known to have been on the
+/// server looks like the only one.
 pub const SETTLE_TIME: Duration = Duration::from_millis(300);
-/// Time for which a request is held back while it is open whether it or another one
-/// ended a server: the others' callers ask again within it.
+/// Time for which a request is deferred while it is undecided whether it or another
+/// request ended a server. The clients of the other requests retry within this time.
 const UNDECIDED_TIME: Duration = Duration::from_millis(1_500);
-/// How long an end counts, and so for how long a request is refused after the
-/// last one: the longest lease of the store, which keeps it over a restart of
-/// all gateways.
+/// Time for which an end counts, and so for which a request is refused after its last
+/// end. Equal to the longest lease of the store, which preserves refusals across a
+/// restart of all gateways.
 pub const RETENTION: Duration = Duration::from_secs(600);
-/// Time between two ends of one server, as they are told, from which they are two.
-/// It takes a second and more to be back; an end is found within 0.4 s.
+/// Shortest time between two reported ends of one server for them to count as two. A
+/// server takes at least a second to restart, and an end is detected within 0.4 s.
 const SAME_END_TIME: Duration = Duration::from_millis(500);
-/// Ends that are kept: 128 with [`MAX_REQUESTS_PER_END`] each are 8,192 marks, some
-/// 0.5 MB. Of more, the oldest that convicts nobody goes first.
+/// Maximum number of recorded ends. 128 ends with [`MAX_REQUESTS_PER_END`] requests each
+/// are 8,192 marks, about 0.5 MB. The oldest end that supports no refusal is evicted
+/// first.
 const MAX_ENDS: usize = 128;
-/// Requests that are kept of one end: a backend server runs and queues fewer.
+/// Maximum number of recorded requests per end; a backend server runs and queues fewer.
 const MAX_REQUESTS_PER_END: usize = 64;
 
-/// Names what a caller asks for, whichever of its tries it is: the same at all
-/// gateways. Made by a cryptographic hash, so that no caller can choose a
-/// request that is taken for another's.
+/// Identifier of a request's content: the same for all attempts and at all gateways.
+///
+/// It is a cryptographic hash, so that no client can craft a request that is taken for
+/// another client's.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Digest([u8; DIGEST_BYTES]);
 
 impl Digest {
-    /// The digest of a request by its parts, in an order that all callers of
-    /// this function keep to.
+    /// Hashes the parts of a request. All callers must pass the parts in the same order.
     pub fn of(parts: &[&[u8]]) -> Digest {
         let mut hash = sha2::Sha256::new();
         for part in parts {
@@ -88,17 +94,17 @@
         Digest(bytes)
     }
 
-    /// Its bytes.
+    /// Returns the bytes of the digest.
     pub fn bytes(&self) -> &[u8] {
         &self.0
     }
 
-    /// The digest with those bytes, if they are as many as one has.
+    /// Returns the digest with these bytes, or `None` if their number is wrong.
     pub fn from_bytes(bytes: &[u8]) -> Option<Digest> {
         bytes.try_into().ok().map(Digest)
     }
 
-    /// The digest with that text form.
+    /// Parses the hexadecimal text form that `Display` writes.
     pub fn from_text(text: &str) -> Option<Digest> {
         let number =
             u128::from_str_radix(text, 16).ok().filter(|_| text.len() == 2 * DIGEST_BYTES)?;
@@ -118,14 +124,16 @@
     }
 }
 
-/// What is held of a request that was on a backend server that ended.
+/// Assessment of a request that was on a backend server that ended. A higher mark
+/// replaces a lower one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Mark {
-    /// It may have ended it.
+    /// The request may have ended the server.
     Suspect,
-    /// The same, and it was suspect before: its gateway had sent no other suspect there.
+    /// As `Suspect`; in addition, the request was already suspect when it was dispatched,
+    /// and its gateway had sent no other suspect to the server.
     Alone,
-    /// It did not.
+    /// The request did not end the server.
     Cleared,
 }
 
@@ -134,22 +142,22 @@
 pub struct Item {
     /// Run of the backend server.
     pub run: fleet::Run,
-    /// The request.
+    /// Digest of the request.
     pub digest: Digest,
-    /// What is held of it.
+    /// Assessment of the request.
     pub mark: Mark,
-    /// When the backend server ended, as far as is known.
+    /// Time at which the backend server ended, as detected.
     pub at: clock::Instant,
 }
 
-/// What is held of a request over all ends.
+/// Assessment of a request across all recorded ends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Standing {
-    /// Nothing is held against it.
+    /// No unexplained end involves the request.
     Sound,
-    /// It was on so many servers that ended, which nothing else explains.
+    /// The request was on this many servers whose end is not explained.
     Suspect(u32),
-    /// It ended so many servers, and is refused.
+    /// The request ended this many servers and is refused.
     Refused(u32),
 }
 
@@ -170,36 +178,37 @@
         now.since(self.at) >= SETTLE_TIME
     }
 
-    /// The only request there that may have ended it.
+    /// Returns the only request that may have ended the server.
     fn sole(&self) -> Option<Digest> {
         single(self.suspects())
     }
 
-    /// The only one there that was suspect before it was sent.
+    /// Returns the only request that was already suspect when it was dispatched there.
     fn alone(&self) -> Option<Digest> {
         let alone = self.marks.iter().filter(|(_, mark)| **mark == Mark::Alone);
         single(alone.map(|(digest, _)| *digest))
     }
 }
 
-/// All ends that are known, and what follows from them.
+/// All recorded ends of servers and the refusals that follow from them.
 #[derive(Debug, Clone, Default)]
 pub struct Ledger {
-    /// By the run and the time of its end.
+    /// Recorded ends by run and time.
     ends: BTreeMap<(fleet::Run, clock::Instant), End>,
-    /// Why each request that is refused is.
+    /// Refused requests, each with the reason.
     refused: BTreeMap<Digest, Verdict>,
-    /// Ends of each other request that was on a server whose end is not explained.
+    /// Number of unexplained ends of each request that is not refused.
     suspected: BTreeMap<Digest, u32>,
-    /// Until when requests are not sent again that were tried beside others: these
-    /// may come to their end before, and leave it as the only one, or end a server.
+    /// Times until which requests are deferred that were tried beside others. Until then
+    /// the others may complete, which leaves the request as the only suspect, or may end
+    /// a server.
     undecided: BTreeMap<Digest, clock::Instant>,
-    /// When that was worked out.
+    /// Time up to which ends were assessed as settled.
     evaluated_at: clock::Instant,
 }
 
 impl Ledger {
-    /// Takes what is told of a request. Returns whether it was news.
+    /// Merges an item. Returns whether it changed the ledger.
     pub fn merge(&mut self, item: &Item, now: clock::Instant) -> bool {
         if now.since(item.at) >= RETENTION {
             return false;
@@ -218,9 +227,10 @@
         true
     }
 
-    /// The end that an item tells of: a known one, or a further one of its server.
-    /// A server that is back is taken for its run of before until its entry tells
-    /// the new one, by some gateways longer than by others.
+    /// Returns the key of the end that an item belongs to: a recorded end of the same
+    /// server at about the same time, or else a new one. Runs are not compared: a gateway
+    /// takes a restarted server for its earlier run until it receives the server's new
+    /// entry, which some gateways receive later than others.
     fn key(&self, item: &Item) -> (fleet::Run, clock::Instant) {
         let apart = |at: clock::Instant| at.since(item.at).max(item.at.since(at));
         let mut known = self.ends.keys().filter(|(run, _)| run.id == item.run.id);
@@ -228,14 +238,14 @@
         same.cloned().unwrap_or_else(|| (item.run.clone(), item.at))
     }
 
-    /// A request came to its end: it ended no server. Returns what others are
-    /// to be told.
+    /// Clears a request that completed, and so ended no server. Returns the items to send
+    /// to other gateways.
     pub fn clear(&mut self, digest: Digest) -> Vec<Item> {
         self.clear_where(|_, suspect| suspect == digest)
     }
 
-    /// Those servers ended by another cause than a request. Returns what others
-    /// are to be told.
+    /// Clears all requests on these runs, which ended for a cause other than a request.
+    /// Returns the items to send to other gateways.
     pub fn clear_runs(&mut self, runs: &[fleet::Run]) -> Vec<Item> {
         self.clear_where(|run, _| runs.contains(run))
     }
@@ -255,7 +265,7 @@
         items
     }
 
-    /// What is held of a request.
+    /// Returns the assessment of a request.
     pub fn standing(&self, digest: Digest) -> Standing {
         if let Some(verdict) = self.refused.get(&digest) {
             return Standing::Refused(verdict.ends);
@@ -263,24 +273,25 @@
         self.suspected.get(&digest).map_or(Standing::Sound, |ends| Standing::Suspect(*ends))
     }
 
-    /// Whether a request is to run apart from other suspects: it was on a server
-    /// that ended, and has not come to its end since. That others explain the end
-    /// does not clear it, as several may have been there that end their servers.
+    /// Returns whether a request must be isolated from other suspects: it was on a server
+    /// that ended and has not completed since. An end that another request explains does
+    /// not clear it, as several poison requests may have been on that server.
     pub fn apart(&self, digest: Digest) -> bool {
         self.ends.values().any(|end| end.suspects().any(|suspect| suspect == digest))
     }
 
-    /// Requests that are refused.
+    /// Returns the refused requests.
     pub fn refused(&self) -> impl Iterator<Item = Digest> {
         self.refused.keys().copied()
     }
 
-    /// Why a request is refused, if it is.
+    /// Returns why a request is refused, or `None` if it is not.
     pub fn verdict(&self, digest: Digest) -> Option<Verdict> {
         self.refused.get(&digest).copied()
     }
 
-    /// The ends that are held against a request, and who else was there.
+    /// Returns the ends that count against a request, each with the number of other
+    /// requests on that server.
     pub fn evidence(&self, digest: Digest, now: clock::Instant) -> Vec<Evidence> {
         let held = self.ends.iter().filter_map(|((run, _), end)| {
             let mark = *end.marks.get(&digest).filter(|mark| **mark != Mark::Cleared)?;
@@ -293,7 +304,7 @@
         held.collect()
     }
 
-    /// All that is known, each request on each server.
+    /// Returns an item for each request on each recorded end.
     pub fn items(&self) -> impl Iterator<Item = Item> {
         self.ends.iter().flat_map(|((run, _), end)| {
             let marks = end.marks.iter();
@@ -306,7 +317,7 @@
         })
     }
 
-    /// Forgets ends that no longer count, and takes what has settled.
+    /// Removes expired ends, and assesses ends that have settled since the last call.
     pub fn expire(&mut self, now: clock::Instant) {
         let before = self.ends.len();
         self.ends.retain(|_, end| now.since(end.at) < RETENTION);
@@ -317,13 +328,13 @@
         }
     }
 
-    /// Whether there is an end that others may still tell of.
+    /// Returns whether other gateways may still report on any of the ends.
     pub fn unsettled(&self, now: clock::Instant) -> bool {
         self.ends.values().any(|end| !end.settled(now))
     }
 
-    /// Whether others may still tell of an end that a request is suspect of, or may
-    /// show soon whether it was that one.
+    /// Returns whether a request must wait: other gateways may still report on an end that
+    /// it is suspected of, or the fate of other requests may soon decide the suspicion.
     pub fn awaits(&self, digest: Digest, now: clock::Instant) -> bool {
         if self.undecided.get(&digest).is_some_and(|until| now < *until) {
             return true;
@@ -332,14 +343,15 @@
         recent.any(|end| end.suspects().any(|suspect| suspect == digest))
     }
 
-    /// Whether nothing is known.
+    /// Returns whether no end is recorded.
     pub fn is_empty(&self) -> bool {
         self.ends.is_empty()
     }
 
-    /// Works out who is to blame, from the surest ground down. An end is explained
-    /// by a request that is refused for it, and then says nothing of others: what
-    /// was found on a weaker ground before is taken back by a proof that comes later.
+    /// Recomputes the refusals, from the strongest ground to the weakest. An end is
+    /// explained by a request that is refused for it, and then counts against no other
+    /// request. As all refusals are recomputed, later proof revokes an earlier refusal on
+    /// a weaker ground.
     fn evaluate(&mut self) {
         self.refused.clear();
         let mut open: Vec<&End> = self.ends.values().collect();
@@ -372,7 +384,7 @@
     ///
     /// # Errors
     ///
-    /// The first [`Fault`] found.
+    /// Returns the first [`Fault`] found.
     pub fn verify(&self) -> Result<(), Fault> {
         if self.ends.len() > MAX_ENDS {
             return Err(Fault::Ends);
@@ -387,17 +399,17 @@
     }
 }
 
-/// A broken invariant of the ledger.
+/// A violated invariant of the ledger.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum Fault {
-    /// The number of ends is bounded.
-    #[error("more ends than are kept")]
+    /// More than [`MAX_ENDS`] ends are recorded.
+    #[error("number of recorded ends exceeds the limit")]
     Ends,
-    /// The number of requests of an end is bounded.
-    #[error("more requests of an end than are kept")]
+    /// More than [`MAX_REQUESTS_PER_END`] requests are recorded for one end.
+    #[error("number of recorded requests of an end exceeds the limit")]
     Requests,
-    /// Nobody is refused for a single end.
-    #[error("a request is refused for a single end")]
+    /// A request is refused for a single end.
+    #[error("a request is refused after a single end")]
     Grounds,
 }
 
@@ -413,7 +425,8 @@
     all.next().filter(|_| all.next().is_none())
 }
 
-/// Requests that are refused on the surest ground there is.
+/// Returns the strongest ground that applies to any request, with the requests that it
+/// refuses.
 fn guilty(
     ends: &[&End],
     counts: &BTreeMap<Digest, u32>,
@@ -424,7 +437,8 @@
         let found = settled.iter().filter_map(|end| of(end));
         found.filter(|digest| counts[digest] >= PROVEN_ENDS).collect()
     };
-    // A mark that others are still to tell of is the weakest of these.
+    // An `Alone` mark is weak evidence by itself, as other gateways may still report suspects
+    // on that server. It counts only if the request is also the only suspect there.
     let sure = |end: &End| end.alone().filter(|digest| end.sole() == Some(*digest));
     let grounds = [
         (Ground::OnlyRequestOnTrial, proven(sure)),
@@ -434,8 +448,9 @@
     grounds.into_iter().find(|(_, guilty)| !guilty.is_empty())
 }
 
-/// Until when each request is held back that was the only suspect on a server that ended,
-/// beside requests that had ended none: one of these may have ended it.
+/// Returns the time until which each request is deferred that was the only earlier suspect
+/// on a server that ended, beside requests not suspected before. One of those may have
+/// ended the server.
 fn undecided(ends: &[&End], counts: &BTreeMap<Digest, u32>) -> BTreeMap<Digest, clock::Instant> {
     let mut until = BTreeMap::new();
     for end in ends {
@@ -449,8 +464,9 @@
     until
 }
 
-/// Requests with the most ends of all, if these are enough whoever else was there. Two that
-/// were on the same servers look alike: the next end, of one of them alone, tells them apart.
+/// Returns the requests with the most ends, if that number suffices without other proof.
+/// Requests that were on the same servers cannot be distinguished until one of them ends a
+/// server without the other.
 fn leaders(counts: &BTreeMap<Digest, u32>) -> BTreeSet<Digest> {
     let most = counts.values().max().copied().unwrap_or(0);
     let leaders: BTreeSet<Digest> =
--- a/decision/src/poison/abandoned.rs
+++ b/decision/src/poison/abandoned.rs
@@ -1,24 +1,24 @@
-//! Requests that were given up while a backend server ran them.
+//! Requests whose gateway abandoned them while a backend server ran them.
 //!
-//! Their connections are closed, but the server may go on with them until their
-//! deadlines and end under them, with nobody left who looks for that. Whoever runs
-//! there then would be blamed for it.
+//! Their connections are closed, but the server may run them until their deadlines and
+//! end under them, when no gateway tracks them on that server any more. Without this
+//! record the end would be blamed on the requests that run there at that time.
 
 use std::collections::VecDeque;
 
 use crate::poison::{Digest, Item, Mark};
 use crate::{clock, fleet};
 
-/// Requests that are remembered; the oldest goes first.
+/// Maximum number of recorded requests; the oldest is evicted first.
 const MAX_REQUESTS: usize = 256;
 
-/// Requests that one gateway gave up.
+/// Requests that this gateway abandoned.
 #[derive(Debug, Default)]
 pub struct Abandoned {
     running: VecDeque<Running>,
 }
 
-/// One that a backend server may still run.
+/// An abandoned request that a backend server may still run.
 #[derive(Debug)]
 struct Running {
     run: fleet::Run,
@@ -27,7 +27,7 @@
 }
 
 impl Abandoned {
-    /// A request was given up that a server may run until then.
+    /// Records an abandoned request that a server may run up to the time `until`.
     pub fn add(&mut self, run: &fleet::Run, digest: Digest, until: clock::Instant) {
         if self.running.len() >= MAX_REQUESTS {
             self.running.pop_front();
@@ -35,15 +35,15 @@
         self.running.push_back(Running { run: run.clone(), digest, until });
     }
 
-    /// What the end of a server, of which an item tells, says of the requests that were
-    /// given up there. Each is told once: the server's next run does not have it.
+    /// Returns items for the abandoned requests on the server whose end `item` reports.
+    /// Each request is returned once, as the server's next run does not have it.
     pub fn blame(&mut self, item: &Item) -> Vec<Item> {
         if item.mark == Mark::Cleared {
             return Vec::new();
         }
         let mut blamed = Vec::new();
         self.running.retain(|running| {
-            // Some gateways know a new run by its id alone at first.
+            // Compares ids only: some gateways do not know the start time of a new run yet.
             let there = running.run.id == item.run.id && running.digest != item.digest;
             if there && item.at <= running.until {
                 let (run, digest) = (item.run.clone(), running.digest);
--- a/decision/src/poison/finished.rs
+++ b/decision/src/poison/finished.rs
@@ -1,4 +1,4 @@
-//! Requests that came to their end.
+//! Requests that completed recently.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -6,27 +6,28 @@
 use crate::clock;
 use crate::poison::Digest;
 
-/// Requests that a gateway remembers to have come to their end: 4,096 of some
-/// 50 bytes, the last 40 seconds of one that answers a hundred a second.
+/// Maximum number of recorded requests of about 50 bytes each. At a hundred requests a
+/// second, 4,096 cover the last 40 seconds.
 const MAX_FINISHED: usize = 4_096;
-/// For how long they are remembered. A request that many callers send alike
-/// comes to its end far more often.
+/// Time for which a request is recorded. An identical request of many clients completes
+/// far more often than that.
 const RETENTION: Duration = Duration::from_secs(60);
 
-/// Requests that came to their end of late. One that many callers send alike is
-/// on most servers that end, and must not be blamed for it: refused everywhere,
-/// it could not come to its end any more.
+/// Requests that completed recently.
+///
+/// An identical request of many clients is on most servers that end, and must not be
+/// blamed for these ends: once refused everywhere, it could never complete and be cleared.
 #[derive(Debug, Default)]
 pub struct Finished {
-    /// When each last did, and which of all that was.
+    /// Time of each request's last completion and its sequence number.
     last: BTreeMap<Digest, (clock::Instant, u64)>,
-    /// All of them, oldest first; some have done so again.
+    /// All completions, oldest first; a request occurs once for each of its completions.
     order: VecDeque<(Digest, u64)>,
     count: u64,
 }
 
 impl Finished {
-    /// A request came to its end.
+    /// Records that a request completed.
     pub fn add(&mut self, digest: Digest, now: clock::Instant) {
         self.count += 1;
         self.last.insert(digest, (now, self.count));
@@ -40,7 +41,7 @@
         }
     }
 
-    /// Whether a request came to its end of late.
+    /// Returns whether a request completed recently.
     pub fn contains(&self, digest: Digest, now: clock::Instant) -> bool {
         self.last.get(&digest).is_some_and(|(at, _)| now.since(*at) < RETENTION)
     }
--- a/decision/src/poison/verdict.rs
+++ b/decision/src/poison/verdict.rs
@@ -1,4 +1,4 @@
-//! Why a request is refused, as it is logged.
+//! The reason and the evidence of a refusal, for the log.
 
 use std::fmt;
 use std::time::Duration;
@@ -6,14 +6,15 @@
 use crate::fleet;
 use crate::poison::Mark;
 
-/// On what a refusal is based, the surest first.
+/// Ground of a refusal, the strongest first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Ground {
-    /// The only request on a server that ended, and sent there as a suspect.
+    /// The request was the only possible cause on a server that ended, and was dispatched
+    /// there as the only suspect.
     OnlyRequestOnTrial,
-    /// The only request there.
+    /// The request was the only possible cause on a server that ended.
     OnlyRequest,
-    /// No other request was on as many servers that ended.
+    /// The request was on enough servers that ended, and no other request on more.
     Count,
 }
 
@@ -27,25 +28,25 @@
     }
 }
 
-/// Why a request is refused.
+/// Reason of a refusal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Verdict {
-    /// Servers that ended under it.
+    /// Number of servers that ended under the request.
     pub ends: u32,
-    /// What the refusal is based on.
+    /// Ground of the refusal.
     pub ground: Ground,
 }
 
-/// One end that is held against a request, for the log.
+/// One end that counts against a request, for the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Evidence {
     /// Run of the backend server.
     pub run: fleet::Run,
-    /// Time since its end.
+    /// Time since the server ended.
     pub age: Duration,
-    /// What is held of the request itself.
+    /// Mark of the request itself.
     pub mark: Mark,
-    /// Others that were there, by what is held of them: suspect, alone, cleared.
+    /// Number of other requests on the server with the marks suspect, alone and cleared.
     pub others: [usize; 3],
 }
 
--- a/decision/src/route.rs
+++ b/decision/src/route.rs
@@ -1,79 +1,78 @@
-//! The operators' routes: which backend may answer a request, for how long,
-//! and for whom.
+//! Routes: which services answer a request, within which time, and for which teams.
 //!
-//! A [`Config`] is what operators wrote, at one version; a [`Table`] is the
-//! same laid out for look-ups. A table never changes: a new version makes a
-//! new one, and a process goes over to it only forwards.
+//! A [`Config`] is one version of the operators' configuration; a [`Table`] is the
+//! same configuration, indexed for lookups. A table is immutable: each new version has a
+//! new table, and a process only switches to a table of a higher version.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What may be done with a request that failed.
+/// How a request may be retried after a failure.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Kind {
-    /// May run more than once.
+    /// The request may run more than once.
     Idempotent,
-    /// Runs at most once.
+    /// The request runs at most once.
     NonIdempotent,
-    /// Answers with a series of events.
+    /// The response is a stream of events.
     Streaming {
-        /// Whether another backend server may go on after an event, which
-        /// also means that it may run more than once.
+        /// Whether another backend server may resume the stream after an event. This
+        /// implies that the request may run more than once.
         resumable: bool,
     },
 }
 
 impl Kind {
-    /// Whether the request may run more than once.
+    /// Returns whether the request may run more than once.
     pub fn repeatable(self) -> bool {
         matches!(self, Kind::Idempotent | Kind::Streaming { resumable: true })
     }
 
-    /// Whether it is answered with a series of events.
+    /// Returns whether the response is a stream of events.
     pub fn streaming(self) -> bool {
         matches!(self, Kind::Streaming { .. })
     }
 }
 
-/// A service that a route sends a part of its requests to.
+/// A service that receives a share of a route's requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Target {
     /// Name of the service.
     pub service: Arc<str>,
-    /// Its part, relative to the other targets.
+    /// Share of the requests, relative to the weights of the other targets.
     pub weight: u32,
 }
 
 /// A route.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Route {
-    /// Its name.
+    /// Name of the route.
     pub name: Arc<str>,
-    /// Host that it is for.
+    /// Host name of the requests that the route matches.
     pub host: Arc<str>,
-    /// Beginning of the paths that it is for, with a slash at both ends.
+    /// Path prefix of the requests that the route matches, with a slash at both ends.
     pub prefix: Arc<str>,
-    /// What may be done with its requests.
+    /// How the route's requests may be retried.
     pub kind: Kind,
-    /// Longest time from a request to the end of its answer.
+    /// Longest time from a request to the end of its response.
     pub timeout: Duration,
-    /// Time within which an answer, or its first event, is wanted.
+    /// Target time to the response, or to its first event.
     pub objective: Duration,
-    /// Longest wanted pause between two events.
+    /// Target for the longest pause between two events.
     pub pause: Option<Duration>,
-    /// Urgency; 0 goes first.
+    /// Priority of the requests; 0 is the most urgent.
     pub priority: u32,
-    /// Services that answer; at least one.
+    /// Services that answer the requests; at least one.
     pub targets: Vec<Target>,
-    /// Backend servers that one request may be sent to at the most.
+    /// Maximum number of backend servers that one request may be sent to.
     pub max_attempts: u32,
     /// Whether requests need no key.
     pub anonymous: bool,
 }
 
 impl Route {
-    /// The service for a request, by a number drawn evenly from all `u32`.
+    /// Returns the service for a request. `draw` is a uniformly distributed random number.
     pub fn target(&self, draw: u32) -> &Arc<str> {
         let total: u64 = self.targets.iter().map(|target| u64::from(target.weight)).sum();
         let mut point = (u64::from(draw) * total) >> 32;
@@ -91,144 +90,146 @@
 /// A service.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Service {
-    /// Its name.
+    /// Name of the service.
     pub name: Arc<str>,
-    /// Connections that one of its backend servers takes from everybody together.
+    /// Maximum number of connections that a backend server accepts from all gateways
+    /// together.
     pub max_connections: u32,
-    /// Requests a second that one of them can serve while it is cold; zero where cold
-    /// ones can serve as many as others.
+    /// Requests a second that a cold backend server can serve; zero if cold servers can
+    /// serve as many as warm ones.
     pub cold_rate: f64,
-    /// Path at which its backend servers tell whether they serve.
+    /// Path of the health check of the service's backend servers.
     pub health_path: Option<Arc<str>>,
-    /// What is known of its model engines, if it has any.
+    /// Properties of the service's model engines, if it has any.
     pub engine: Option<Engine>,
 }
 
-/// Model engines of a service.
+/// Properties of the model engines of a service.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Engine {
-    /// Requests that an engine runs at a time.
+    /// Number of requests that an engine runs at a time.
     pub slots: u32,
-    /// Tokens that an engine has memory for.
+    /// Number of tokens that fit into an engine's memory.
     pub memory_tokens: u64,
-    /// Time of a step without any work.
+    /// Duration of a step without load.
     pub step: Duration,
-    /// Time that each stream of an engine adds to a step; zero where it is not told.
+    /// Time that each stream of an engine adds to a step; zero if unknown.
     pub step_per_stream: Duration,
-    /// Steps that a pass plays.
+    /// Number of steps that a pass covers.
     pub steps: u32,
-    /// Bandwidth at which an engine copies, megabits a second; zero where it is
-    /// not told.
+    /// Bandwidth at which an engine copies, in megabits a second; zero if unknown.
     pub copy_mbps: f64,
-    /// Prompt tokens that an engine reads in a second.
+    /// Number of prompt tokens that an engine reads in a second.
     pub read_per_s: f64,
-    /// How long the group takes to open once all its ranks are there.
+    /// Time that the group takes to become available once all its ranks are present.
     pub form: Duration,
     /// Experts, if the engines are ranks of a group.
     pub experts: Option<Experts>,
 }
 
-/// Experts of a group.
+/// Properties of the experts of a group.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Experts {
-    /// Sets of layers that share their placement.
+    /// Number of sets of layers; the layers of a set share one placement.
     pub sets: usize,
-    /// Experts of each set.
+    /// Number of experts in each set.
     pub count: usize,
-    /// Experts of one set that a rank may hold.
+    /// Maximum number of experts of one set that a rank holds.
     pub placements: usize,
-    /// Experts of one set that a rank may take in by one change.
+    /// Maximum number of experts of one set that a rank receives in one change.
     pub spare: usize,
-    /// Part of a pass's work that is the experts'.
+    /// Fraction of a pass's work that the experts account for.
     pub share: f64,
-    /// Size of one expert of a set, megabytes.
+    /// Size of one expert of a set, in megabytes.
     pub size_mb: f64,
 }
 
 /// A team.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Team {
-    /// Its name.
+    /// Name of the team.
     pub name: Arc<str>,
-    /// Keys that its requests may bear.
+    /// Keys that authenticate the team's requests.
     pub keys: Vec<Arc<str>>,
-    /// Urgency, which goes before that of the route; 0 goes first.
+    /// Priority, which outranks that of the route; 0 is the most urgent.
     pub priority: u32,
 }
 
-/// What a client may send, and how slowly.
+/// Size and time limits for clients.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// Bytes of a request's head.
+    /// Maximum size of a request's head, in bytes.
     pub header_bytes: usize,
-    /// Bytes of a request's body.
+    /// Maximum size of a request's body, in bytes.
     pub body_bytes: usize,
-    /// Time for a request's head.
+    /// Maximum time to receive a request's head.
     pub header_timeout: Duration,
-    /// Time that a connection may be idle.
+    /// Maximum time for which a connection may be idle.
     pub idle_timeout: Duration,
 }
 
-/// The operators' configuration at one version.
+/// One version of the operators' configuration.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Config {
-    /// Its version; a later one is higher.
+    /// Version number; newer versions are higher.
     pub version: u64,
     /// Routes.
     pub routes: Vec<Route>,
     /// Services.
     pub services: Vec<Service>,
-    /// Teams; `None` where requests need no key at all.
+    /// Teams; `None` if no request needs a key.
     pub teams: Option<Vec<Team>>,
     /// Limits for clients.
     pub limits: Limits,
 }
 
-/// Why a request has no route.
+/// Reason why a request is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
 pub enum Refusal {
-    /// No route of its host begins its path.
+    /// No route of the request's host has a prefix that matches its path.
     #[error("no-route")]
     NoRoute,
-    /// It bears no key, or an unknown one.
+    /// The request has no key, or an unknown one.
     #[error("unknown-key")]
     UnknownKey,
 }
 
-/// What a request may do.
+/// Route and team of an accepted request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Grant {
-    /// Its route.
+    /// Route of the request.
     pub route: Arc<Route>,
-    /// Its team, if it bears a key.
+    /// Team of the request, if its key belongs to one.
     pub team: Option<Arc<Team>>,
 }
 
 impl Grant {
-    /// Urgency of the request: the team's goes before the route's.
+    /// Returns the precedence of the request; 0 is the most urgent. The team's priority
+    /// outranks the route's.
     pub fn precedence(&self) -> u32 {
-        /// More than any priority of a route.
+        /// Upper bound on the priority of a route; higher ones are reduced below it.
         const TEAM_FACTOR: u32 = 1_000;
         let team = self.team.as_ref().map_or(0, |team| team.priority);
         team * TEAM_FACTOR + self.route.priority.min(TEAM_FACTOR - 1)
     }
 }
 
-/// A configuration laid out for look-ups.
+/// A configuration indexed for lookups.
 #[derive(Debug)]
 pub struct Table {
-    /// The configuration's version.
+    /// Version of the configuration.
     pub version: u64,
     /// Limits for clients.
     pub limits: Limits,
-    /// By host, longest prefix first.
+    /// Routes by host name, longest prefix first.
     hosts: HashMap<Arc<str>, Vec<Arc<Route>>>,
+    /// Teams by key; `None` if no request needs a key.
     keys: Option<HashMap<Arc<str>, Arc<Team>>>,
     services: BTreeMap<Arc<str>, Arc<Service>>,
 }
 
 impl Table {
-    /// Lays a configuration out.
+    /// Builds the table of a configuration.
     pub fn new(config: Config) -> Table {
         let mut hosts: HashMap<Arc<str>, Vec<Arc<Route>>> = HashMap::new();
         for route in config.routes {
@@ -249,11 +250,11 @@
         Table { version: config.version, limits: config.limits, hosts, keys, services }
     }
 
-    /// Finds a request's route and team.
+    /// Looks up the route and the team of a request.
     ///
     /// # Errors
     ///
-    /// A [`Refusal`]; a missing route goes before an unknown key.
+    /// Returns a [`Refusal`]; a missing route is reported before an unknown key.
     pub fn find(&self, host: &str, path: &str, key: Option<&str>) -> Result<Grant, Refusal> {
         let routes = self.hosts.get(host).ok_or(Refusal::NoRoute)?;
         let route = routes.iter().find(|route| path.starts_with(&*route.prefix));
@@ -266,12 +267,12 @@
         Ok(Grant { route, team })
     }
 
-    /// A service by its name.
+    /// Returns the service with this name.
     pub fn service(&self, name: &str) -> Option<&Arc<Service>> {
         self.services.get(name)
     }
 
-    /// All services.
+    /// Returns all services.
     pub fn services(&self) -> impl Iterator<Item = &Arc<Service>> {
         self.services.values()
     }
--- a/decision/src/routing.rs
+++ b/decision/src/routing.rs
@@ -1,10 +1,11 @@
-//! Which backend server takes a request.
+//! Selection of a backend server for each request.
 //!
-//! [`server`] holds what one entry host knows of each backend server;
-//! [`policy`] has the ways to choose between them, weighed against each other
-//! in `docs/design/routing.md`; [`eject`] finds those that are alive and fail;
-//! [`notice`] is what a backend server says of its own near future, [`rate`] the rate
-//! limit that it names, [`warmup`] what those that are cold may get.
+//! - [`server`] holds the state that one entry host keeps of each backend server.
+//! - [`policy`] has the load-balancing policies; `docs/design/routing.md` compares them.
+//! - [`eject`] detects backend servers that are alive but fail requests.
+//! - [`notice`] handles rests and departures that a backend server announces.
+//! - [`rate`] divides the rate limit that a backend server reports among gateways.
+//! - [`warmup`] limits the requests to cold backend servers.
 
 pub mod eject;
 pub mod notice;
--- a/decision/src/routing/eject.rs
+++ b/decision/src/routing/eject.rs
@@ -1,46 +1,52 @@
-//! Finds backend servers that are alive and fail: outlier ejection.
+//! Outlier ejection: detects backend servers that are alive but fail requests.
 //!
-//! A backend server that fails several times in a row gets no new work for a
-//! while that doubles with each time. No more than a part of a pool may be out
-//! for this reason, so that a fault of the caller's, or of everybody, does not
-//! take the whole pool away.
+//! A backend server that fails several requests in a row is ejected: it receives no new
+//! requests for a time that doubles with each ejection. Only a part of a pool may be
+//! ejected, so that faults of the client, or faults common to all servers, do not make the
+//! whole pool unavailable.
 
 use std::time::Duration;
 
 use crate::clock;
 
-/// Failures in a row that eject.
+/// Number of consecutive failures after which a server is ejected.
 const MAX_FAILURES: u32 = 3;
-/// First time out, and the longest.
+/// Duration of the first ejection, and the longest.
 const EJECTION_TIME: (Duration, Duration) = (Duration::from_secs(2), Duration::from_secs(60));
-/// Weight of the newest sample in the mean time to the first part of an answer.
+/// Weight of the newest sample in the moving average of the latency.
 const LATENCY_GAIN: f64 = 0.2;
-/// How much slower than the pool's median a backend server must be to be out.
+/// Ratio of a backend server's latency to the pool's median above which it is ejected.
 pub const SLOW_FACTOR: f64 = 4.0;
-/// Part of a pool that must stay in.
+/// Fraction of a pool that must not be ejected.
 pub const MIN_AVAILABLE: f64 = 0.5;
 
-/// Record of one backend server's failures.
+/// Failures and latency of one backend server.
 #[derive(Debug, Clone, Default)]
 pub struct Health {
+    /// Consecutive failures.
     failures: u32,
+    /// Exponent of the ejection time: incremented by each ejection, decremented by each
+    /// response.
     ejections: u32,
+    /// End of the last ejection.
     until: Option<clock::Instant>,
+    /// Moving average of the time to the first part of a response, in seconds.
     latency: Option<f64>,
 }
 
 impl Health {
-    /// Whether it is out at present.
+    /// Returns whether the server is ejected.
     pub fn ejected(&self, now: clock::Instant) -> bool {
         self.until.is_some_and(|until| now < until)
     }
 
-    /// Mean time to the first part of an answer, seconds.
+    /// Returns the moving average of the time to the first part of a response, in seconds,
+    /// or `None` without a sample.
     pub fn latency(&self) -> Option<f64> {
         self.latency
     }
 
-    /// An answer began after that time.
+    /// Records a response whose first part arrived after `first_part`.
     pub fn answered(&mut self, first_part: Duration) {
         let sample = first_part.as_secs_f64();
         let mean = self.latency.unwrap_or(sample);
@@ -49,25 +55,25 @@
         self.ejections = self.ejections.saturating_sub(1);
     }
 
-    /// An attempt failed. Returns whether this one should be ejected, which
-    /// the caller does if the pool's floor allows it.
+    /// Records a failed attempt. Returns whether the server should be ejected; the caller
+    /// ejects it if [`floor_allows`] permits.
     pub fn failed(&mut self) -> bool {
         self.failures += 1;
         self.failures >= MAX_FAILURES
     }
 
-    /// Puts it out.
+    /// Ejects the server.
     pub fn eject(&mut self, now: clock::Instant) {
         let time = EJECTION_TIME.0.saturating_mul(1 << self.ejections.min(16)).min(EJECTION_TIME.1);
         self.until = Some(now + time);
         self.ejections = self.ejections.saturating_add(1);
         self.failures = 0;
-        // Its pace is learnt anew when it comes back.
+        // The latency is measured anew once the ejection is over.
         self.latency = None;
     }
 }
 
-/// Whether one more of a pool may be out.
+/// Returns whether one more server of a pool may be ejected.
 pub fn floor_allows(pool_size: usize, out: usize) -> bool {
     let stay = (pool_size as f64 * MIN_AVAILABLE).ceil() as usize;
     pool_size.saturating_sub(out + 1) >= stay
--- a/decision/src/routing/notice.rs
+++ b/decision/src/routing/notice.rs
@@ -1,38 +1,43 @@
-//! What a backend server says of its own near future in an answer.
+//! Announcements of a backend server about itself, in its responses.
+//!
+//! A server can ask for a *rest*, a time during which it wants no requests from the
+//! gateway that it answers, and can announce that it *leaves*, which means that it wants
+//! no new requests in this run. After a rest, the first request is a trial: the server
+//! gets no other one until it has begun to answer it.
 
 use std::fmt;
 use std::time::Duration;
 
 use crate::clock;
 
-/// Longest rest that is kept; a longer one is cut to it. Runs of backend servers last for
-/// hours at the most between two releases, so this is as good as "until its
-/// end", and keeps sums of times far from overflow.
+/// Longest rest; a longer one is truncated to it. A run of a backend server lasts for
+/// hours at most between two releases, so this amounts to "until the run ends", and it
+/// keeps sums of times far from overflow.
 pub const LONGEST_REST: Duration = Duration::from_secs(24 * 60 * 60);
 
-/// How long a backend server wants no request from whom it answers.
+/// Rest that a response asks for: the server wants no requests from this gateway.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Rest {
-    /// It asks for none.
+    /// The server asks for no rest.
     #[default]
     None,
-    /// It wants none for that time, from the moment of its answer.
+    /// The server asks for a rest of this duration, from the time of its response.
     For(Duration),
-    /// It asks for some, and for how long cannot be read.
+    /// The server asks for a rest whose duration cannot be parsed.
     Unreadable,
 }
 
-/// What an answer says besides its request's own matter.
+/// Announcements of the server in one response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Notice {
-    /// Whether it wants a rest.
+    /// Rest that the server asks for.
     pub rest: Rest,
-    /// Whether it is about to end: it wants nothing new in this run.
+    /// Whether the server is about to exit and wants no new requests in this run.
     pub leaving: bool,
 }
 
 impl Notice {
-    /// Whether it says nothing.
+    /// Returns whether the notice announces nothing.
     pub fn is_empty(&self) -> bool {
         *self == Notice::default()
     }
@@ -48,65 +53,65 @@
     }
 }
 
-/// Longest part of a rest by which a gateway comes back later than it may, and
-/// the longest such time: gateways that were refused together come back one
-/// after the other. 300 of them that were asked for 3 s come over 0.75 s.
+/// Maximum delay after a rest before a gateway sends again, as a fraction of the rest and
+/// as an absolute time. It spreads out gateways that were rejected together: 300 gateways
+/// that were asked for a rest of 3 s return over 0.75 s.
 const RETURN_JITTER: (f64, Duration) = (0.25, Duration::from_secs(1));
 
-/// What has changed by a notice.
+/// State change that a notice caused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Change {
-    /// It gets nothing for that time.
+    /// The server starts to rest for this time and gets no requests.
     Rests(Duration),
-    /// It gets nothing more in this run.
+    /// The server leaves and gets no more requests in this run.
     Leaves,
 }
 
-/// Whether a backend server that rested may take requests again.
+/// State of the trial request after a rest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 enum Trial {
-    /// It may.
+    /// The server accepted the trial request, or never rested.
     #[default]
     Passed,
-    /// It gets one request, to see whether it takes it.
+    /// The next request is the trial request.
     Due,
-    /// That one is on its way.
+    /// The trial request is in flight.
     Sent,
 }
 
-/// Whether a run leaves.
+/// Whether a run leaves, as far as the server has announced it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 enum Departure {
-    /// It has not said so.
+    /// No departure was announced.
     #[default]
     None,
-    /// It or an earlier run under its id has said so.
+    /// Either this run or an earlier one under the same id announced its departure.
     Unsettled,
-    /// It has said so.
+    /// This run announced its departure.
     Announced,
 }
 
-/// Longest part of a rest that a run takes over from an earlier one: a restart is how
-/// operators end a longer one that was asked for by mistake.
+/// Longest rest that a run inherits from an earlier one. Operators restart a server to end
+/// a longer rest that was requested by mistake.
 const MAX_INHERITED_REST: Duration = Duration::from_secs(60);
 
-/// What a run of a backend server has said, as far as it still holds. Only that
-/// run's end or time lifts it: a later answer that says nothing does not.
+/// Announcements of a run of a backend server that are still in force. They are lifted
+/// only when they expire or the run ends, not by a later response without a notice.
 #[derive(Debug, Clone, Default)]
 pub struct Standing {
-    /// Until when it rests; past where it does not.
+    /// End of the rest; in the past if the server does not rest.
     until: clock::Instant,
-    /// Since when it has rested without a break.
+    /// Start of the current uninterrupted rest.
     since: clock::Instant,
-    /// Whether a rest is going on that has not been seen to end.
+    /// Whether a rest has begun whose end was not yet reported by [`Standing::end_rest`].
     resting: bool,
     trial: Trial,
     departure: Departure,
 }
 
 impl Standing {
-    /// Takes a notice that was read at that time; `jitter`, from 0 to 1, says how
-    /// late within the spread it gets requests again.
+    /// Applies a notice that was received at `now`. `jitter`, from 0 to 1, is the fraction
+    /// of [`RETURN_JITTER`] by which the server gets requests later.
     pub fn apply(&mut self, notice: &Notice, jitter: f64, now: clock::Instant) -> Option<Change> {
         let leaves = notice.leaving && self.departure != Departure::Announced;
         if notice.leaving {
@@ -119,8 +124,8 @@
         if leaves { Some(Change::Leaves) } else { rests }
     }
 
-    /// Returns the change where a rest begins; one that is asked for within
-    /// another only moves its end, and never forward.
+    /// Starts or extends a rest. Returns the change if a rest starts. A request for a rest
+    /// during another one only moves its end, and never to an earlier time.
     fn rest(&mut self, time: Duration, jitter: f64, now: clock::Instant) -> Option<Change> {
         let delay =
             time.mul_f64(RETURN_JITTER.0).min(RETURN_JITTER.1).mul_f64(jitter.clamp(0.0, 1.0));
@@ -133,19 +138,19 @@
         Some(Change::Rests(self.until.since(now)))
     }
 
-    /// Whether it wants nothing at present.
+    /// Returns whether the server rests.
     pub fn rests(&self, now: clock::Instant) -> bool {
         self.resting && now < self.until
     }
 
-    /// Until when it wants nothing.
+    /// Returns the end of the latest rest.
     pub fn until(&self) -> clock::Instant {
         self.until
     }
 
-    /// Takes over what an earlier run under the same id said: this run may have said it
-    /// itself, as a restarted server serves before its entry tells the new start.
-    /// Returns whether it is no longer certain that this run stays.
+    /// Inherits the announcements of an earlier run under the same id. They may come from
+    /// this run, as a restarted server serves before its entry has the new start time.
+    /// Returns whether this makes it uncertain whether the run leaves.
     pub fn inherit(&mut self, earlier: &Standing, now: clock::Instant) -> bool {
         if earlier.rests(now) {
             self.until = self.until.max(earlier.until.min(now + MAX_INHERITED_REST));
@@ -160,51 +165,51 @@
         unsettled
     }
 
-    /// Whether it has said that it leaves, or may have.
+    /// Returns whether the run announced its departure, or may have.
     pub fn leaving(&self) -> bool {
         self.departure != Departure::None
     }
 
-    /// Whether it is uncertain which run said that it leaves.
+    /// Returns whether it is uncertain which run announced its departure.
     pub fn unsettled(&self) -> bool {
         self.departure == Departure::Unsettled
     }
 
-    /// Settles whether it leaves, where that is uncertain.
+    /// Sets whether the run leaves, if that is uncertain.
     pub fn settle(&mut self, leaving: bool) {
         if self.unsettled() {
             self.departure = if leaving { Departure::Announced } else { Departure::None };
         }
     }
 
-    /// Whether it may get one more request now. After a rest it gets one alone,
-    /// until it has begun to answer it: few at first, and more only if it takes them.
+    /// Returns whether the server may get one more request. After a rest it gets a single
+    /// trial request, and further ones only once it has begun to answer that one.
     pub fn admits(&self, now: clock::Instant) -> bool {
         !self.leaving() && !self.rests(now) && self.trial != Trial::Sent
     }
 
-    /// A request is sent to it.
+    /// Records that a request is sent to the server.
     pub fn sent(&mut self) {
         if self.trial == Trial::Due {
             self.trial = Trial::Sent;
         }
     }
 
-    /// It answers a request that was sent then.
+    /// Records that the server began to answer a request that was sent at `sent`.
     pub fn answered(&mut self, sent: clock::Instant) {
         if sent >= self.until {
             self.trial = Trial::Passed;
         }
     }
 
-    /// A request that was sent then is over, with an answer or without.
+    /// Records that a request that was sent at `sent` ended, with or without a response.
     pub fn request_ended(&mut self, sent: clock::Instant) {
         if self.trial == Trial::Sent && sent >= self.until {
             self.trial = Trial::Due;
         }
     }
 
-    /// Notes the end of a rest: how long it lasted, once.
+    /// Ends a rest whose time is over. Returns its duration, once for each rest.
     pub fn end_rest(&mut self, now: clock::Instant) -> Option<Duration> {
         if !self.resting || now < self.until {
             return None;
--- a/decision/src/routing/policy.rs
+++ b/decision/src/routing/policy.rs
@@ -1,6 +1,7 @@
-//! Ways to choose between backend servers that are open.
+//! Load-balancing policies.
 //!
-//! All but [`Blend`] are baselines that the benchmark compares it with.
+//! Each policy selects one of the candidates, which are the open backend servers of a
+//! pool. All but [`Blend`] are baselines that the benchmark compares it with.
 
 use std::fmt;
 
@@ -11,10 +12,10 @@
 use crate::routing::server;
 use crate::{clock, entity};
 
-/// Way to choose one of the candidates, which are open and in the order of
-/// their ids.
+/// A load-balancing policy.
 pub trait Policy {
-    /// The choice, or `None` where there is no candidate.
+    /// Selects one of the candidates, which are open and in the order of their ids.
+    /// Returns `None` if there is no candidate.
     fn choose(
         &mut self,
         table: &server::Table,
@@ -24,25 +25,25 @@
     ) -> Option<Choice>;
 }
 
-/// What a policy may know of a request.
+/// Properties of a request that policies use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Request {
-    /// Hash of the prompt's beginning, for prefix caches; zero where there is none.
+    /// Hash of the prompt's prefix, for prefix caches; zero if there is none.
     pub prefix: u64,
 }
 
-/// Why the choice fell.
+/// Reason for a choice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Reason {
-    /// There was one candidate.
+    /// There was only one candidate.
     Only,
-    /// Least score of those looked at.
+    /// The server had the lowest score of the sampled candidates.
     LeastScore,
-    /// Drawn by lot.
+    /// The server was selected uniformly at random.
     Lot,
-    /// Its cache should hold the prompt's beginning.
+    /// The server's cache should hold the prompt's prefix.
     Affinity,
-    /// No other suspect of servers' ends is there.
+    /// The server runs no other request that is suspected of ending servers.
     Apart,
 }
 
@@ -61,9 +62,9 @@
 /// A choice and its reason.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Choice {
-    /// The chosen backend server.
+    /// The selected backend server.
     pub server: entity::Server,
-    /// Why it was chosen.
+    /// Reason for the selection.
     pub reason: Reason,
 }
 
@@ -75,10 +76,10 @@
     Some(Choice { server, reason: Reason::LeastScore })
 }
 
-/// Baseline: by lot.
+/// Baseline: uniform random selection.
 #[derive(Debug)]
 pub struct Lot {
-    /// Source of the draws.
+    /// Random number generator.
     pub rng: ChaCha8Rng,
 }
 
@@ -98,7 +99,8 @@
     }
 }
 
-/// Baseline: least load by the last reports, which herds while they are old.
+/// Baseline: lowest load by the last reports. All entry hosts herd on the same server
+/// until the next report.
 #[derive(Debug)]
 pub struct Reported;
 
@@ -114,11 +116,11 @@
     }
 }
 
-/// Baseline: the less loaded of two drawn by lot, by the last reports
+/// Baseline: the less loaded of two random candidates, by the last reports
 /// (Mitzenmacher, "The power of two choices in randomized load balancing", 2001).
 #[derive(Debug)]
 pub struct Two {
-    /// Source of the draws.
+    /// Random number generator.
     pub rng: ChaCha8Rng,
 }
 
@@ -139,20 +141,21 @@
     }
 }
 
-/// Own requests in flight plus faded reports, over a sample of the candidates.
+/// Lowest score in a random sample of the candidates. The score combines own requests in
+/// flight with reported load that decays with its age.
 #[derive(Debug)]
 pub struct Blend {
-    /// Source of the draws.
+    /// Random number generator.
     pub rng: ChaCha8Rng,
-    /// Candidates looked at; two or three keep entry hosts from herding.
+    /// Size of the sample; two or three candidates prevent herding of entry hosts.
     pub sample: usize,
-    /// How far above the least score a backend server with the prompt's
-    /// beginning in its cache may lie and still be chosen.
+    /// Maximum difference to the lowest score at which a backend server with the prompt's
+    /// prefix in its cache is still selected.
     pub affinity_slack: f64,
 }
 
 impl Blend {
-    /// Candidate that all entry hosts prefer for a prefix, by rendezvous.
+    /// Returns the candidate that all entry hosts prefer for a prefix, by rendezvous hashing.
     fn preferred(
         table: &server::Table,
         candidates: &[entity::Server],
--- a/decision/src/routing/rate.rs
+++ b/decision/src/routing/rate.rs
@@ -1,13 +1,15 @@
-//! The rate limit that a backend server names in its answers.
+//! Division of a backend server's rate limit among gateways.
 //!
-//! A server in need names how many requests a second it takes from all gateways
-//! together, for as long as its answers say so. Gateways share no counter: each
-//! knows the others by name, and by that alone which of them use a server's limit.
-//! These, its holders, send at even intervals. All others send a request once in a
-//! long while: by its answer each of them hears when the limit is lifted.
+//! An overloaded server reports in its responses how many requests a second it accepts
+//! from all gateways together; the limit is in force until a response without one. The
+//! gateways share no counter. Each computes from the names of the others which of them,
+//! the *holders*, use a server's limit. Holders send at even intervals. All other
+//! gateways send a request at long intervals, as its response shows them whether the limit
+//! is lifted.
 //!
-//! Few holders with intervals as long as the span that counts keep the sum bounded
-//! while gateways differ on who there is, and need little demand each.
+//! There are few holders, with intervals about as long as the span over which requests are
+//! counted. This bounds the total while gateways disagree on the list of gateways, and
+//! each holder can use its share even with little demand.
 
 use std::fmt;
 use std::sync::Arc;
@@ -15,31 +17,32 @@
 
 use crate::{clock, rendezvous};
 
-/// Span over which the users count the requests at a server.
+/// Span over which users of the system count the requests that arrive at a server.
 const LIMIT_SPAN: Duration = Duration::from_secs(4);
-/// Requests within [`LIMIT_SPAN`] that they allow: so many times what the limit allows, and
-/// so many more.
+/// Requests within [`LIMIT_SPAN`] that these users tolerate: a factor on the number that the
+/// limit allows, and an additional number.
 const ALLOWED: (f64, f64) = (1.5, 5.0);
-/// Longest time by which requests come closer together on their way: a new connection
-/// takes that long at the most.
+/// Maximum time by which requests move closer together in transit: the longest time to
+/// open a new connection.
 const NETWORK_JITTER: Duration = Duration::from_millis(250);
-/// Longest delay of a request that the next one makes up for: requests come when they
-/// come, and waiting ones are looked at now and then.
+/// Maximum delay of a request that the next one catches up on. Requests arrive at random
+/// times, and queued ones are examined only periodically.
 const MAX_CATCH_UP: Duration = Duration::from_millis(100);
-/// Parts of the limit that its holders use, and all others to hear of its end.
+/// Fractions of the limit for holders and for all other gateways, which use theirs to
+/// detect that the limit is lifted.
 const SHARES: (f64, f64) = (0.85, 0.15);
-/// Part of what the users allow that the holders may send by plan. The rest is for
-/// gateways that take themselves for holders by an older list of gateways.
+/// Fraction of the tolerated requests that is planned for holders. The rest is a margin for
+/// gateways that consider themselves holders by an outdated list of gateways.
 const PLANNED_PART: f64 = 0.7;
-/// Time that another gateway's word that a limit is lifted may have been on its way.
+/// Maximum transit time of another gateway's report that a limit is lifted.
 const MAX_NEWS_DELAY: Duration = Duration::from_secs(2);
-/// Time over which gateways that were told so return to the server.
+/// Time over which gateways that received such a report return to the server.
 const RETURN_TIME: Duration = Duration::from_secs(2);
-/// Least rate that is counted with, requests a second: a server that takes none at all
-/// is asked now and then whether it still says so.
+/// Minimum rate for calculations, in requests a second. A server that accepts no requests
+/// is still probed at long intervals for whether the limit is in force.
 const MIN_RATE: f64 = 0.05;
 
-/// Requests that a backend server takes from all gateways together.
+/// Rate that a backend server accepts from all gateways together.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Limit {
     /// Requests in 1,000 seconds.
@@ -47,26 +50,26 @@
 }
 
 impl Limit {
-    /// A limit of so many requests a second; none where that is no number of
-    /// requests. What does not fit is cut, which changes nothing: no server takes
+    /// Returns a limit of `rate` requests a second, or `None` if `rate` is negative or not
+    /// finite. A rate that does not fit is truncated, which is harmless: no server accepts
     /// four million requests a second.
     pub fn per_second(rate: f64) -> Option<Limit> {
         let known = rate.is_finite() && rate >= 0.0;
         known.then(|| Limit { millihertz: (rate * 1_000.0).min(f64::from(u32::MAX)) as u32 })
     }
 
-    /// Requests a second.
+    /// Returns the requests a second.
     pub fn rate(self) -> f64 {
         f64::from(self.millihertz) / 1_000.0
     }
 
-    /// Requests a second that are counted with.
+    /// Returns the requests a second for calculations: at least [`MIN_RATE`].
     pub fn usable(self) -> f64 {
         self.rate().max(MIN_RATE)
     }
 
-    /// How many of so many gateways use the limit: as many as send no more than
-    /// planned within any span.
+    /// Returns how many of the gateways are holders: the largest number that sends no more
+    /// than planned within any [`LIMIT_SPAN`].
     fn holders(self, gateways: u32) -> u32 {
         let span = (LIMIT_SPAN + NETWORK_JITTER + MAX_CATCH_UP).as_secs_f64();
         let most =
@@ -84,39 +87,39 @@
     }
 }
 
-/// What an answer says of its backend server's rate limit.
+/// Report of a response on its backend server's rate limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Notice {
-    /// Nothing: it is not of the run that was asked.
+    /// Nothing is known: the response is not from the run that the request was sent to.
     #[default]
     Unknown,
-    /// It names none.
+    /// The response reports no limit.
     Unlimited,
-    /// It names this one.
+    /// The response reports this limit.
     Limited(Limit),
-    /// It names one that cannot be read.
+    /// The response reports a limit that cannot be parsed.
     Unreadable,
 }
 
-/// What has changed by a notice.
+/// State change that a notice caused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Change {
-    /// This limit holds from now on, in place of the other one.
+    /// The first limit is in force and replaces the second one, if there was one.
     Limited(Limit, Option<Limit>),
-    /// The limit is lifted; one had been in force for that time.
+    /// The limit is lifted; limits had been in force for this time.
     Lifted(Duration),
 }
 
 /// A gateway.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Peer {
-    /// Its name.
+    /// Name of the gateway.
     pub name: Arc<str>,
-    /// Its availability zone.
+    /// Availability zone of the gateway.
     pub zone: Arc<str>,
 }
 
-/// All gateways that one of them knows, itself included.
+/// All gateways that this gateway knows, itself included.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Peers {
     own: Peer,
@@ -131,14 +134,15 @@
 }
 
 impl Peers {
-    /// The gateways of a list, which may have this one.
+    /// Creates the set from a list of gateways, which may include this one.
     pub fn new(own: Peer, listed: impl IntoIterator<Item = Peer>) -> Peers {
         let others = listed.into_iter().filter(|peer| peer.name != own.name);
         Peers { others: others.collect(), own }
     }
 
-    /// This gateway's place in the order in which they use a server's limit: those of
-    /// its zone go first, since others mostly send it nothing.
+    /// Returns this gateway's place in the order in which gateways become holders of a
+    /// server's limit. Gateways in the server's zone come first, since others seldom send
+    /// it requests.
     pub fn place(&self, server: &str, zone: &str) -> Place {
         let key = |peer: &Peer| {
             (*peer.zone == *zone, rendezvous::weight(server, &peer.name), peer.name.clone())
@@ -154,31 +158,31 @@
     }
 }
 
-/// A gateway's place among those that may use a limit.
+/// A gateway's place among those that may become holders.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Place {
-    /// Its place in their order, from 0.
+    /// Position in the order, from 0.
     pub rank: u32,
-    /// Those in the server's zone.
+    /// Number of gateways in the server's zone.
     pub in_zone: u32,
-    /// All of them.
+    /// Number of all gateways.
     pub all: u32,
 }
 
-/// How often a gateway may send to a server.
+/// Rate at which a gateway may send to a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Pace {
-    /// Whether it is one of those that use the limit.
+    /// Whether the gateway is a holder.
     pub holder: bool,
     /// Time between two requests.
     pub interval: Duration,
-    /// Time until the first one: all of them begin one after the other.
+    /// Time until the first request; it differs between gateways to spread them out.
     pub first: Duration,
 }
 
 impl Pace {
     fn new(limit: Limit, place: Place) -> Pace {
-        // Where there is none in the server's zone, any may be the ones.
+        // Without a gateway in the server's zone, any gateway may become a holder.
         let near = if place.in_zone == 0 { place.all } else { place.in_zone };
         let holders = limit.holders(near);
         let holder = place.rank < holders;
@@ -191,20 +195,20 @@
     }
 }
 
-/// A limit in force, and what one gateway may send by it.
+/// A limit in force, and the share of one gateway.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Quota {
     limit: Limit,
     place: Place,
     pace: Pace,
-    /// When the last answer was read that named it.
+    /// Time at which the last response that reported the limit was received.
     received: clock::Instant,
-    /// Since when there has been one.
+    /// Time since which any limit has been in force.
     since: clock::Instant,
-    /// When this gateway last became a holder or ceased to be one.
+    /// Time at which this gateway last became a holder or ceased to be one.
     role_since: clock::Instant,
-    /// When its last request was due, or was sent if that was later by more than
-    /// [`MAX_CATCH_UP`].
+    /// Time at which the last request was due, or [`MAX_CATCH_UP`] before it was sent if
+    /// that is later.
     last: Option<clock::Instant>,
 }
 
@@ -214,26 +218,27 @@
         Quota { limit, place, pace, received: now, since: now, role_since: now, last: None }
     }
 
-    /// The limit.
+    /// Returns the limit.
     pub fn limit(&self) -> Limit {
         self.limit
     }
 
-    /// How often this gateway may send.
+    /// Returns the rate at which this gateway may send.
     pub fn pace(&self) -> Pace {
         self.pace
     }
 
-    /// Since when there has been a limit.
+    /// Returns the time since which any limit has been in force.
     pub fn since(&self) -> clock::Instant {
         self.since
     }
 
-    /// Takes what the answer to a request that was sent then says, read at `now`.
+    /// Applies the notice in the response to a request that was sent at `sent`; the response
+    /// was received at `now`.
     ///
-    /// Answers come out of order. One to a request that was sent after the last
-    /// word was heard is surely newer, and replaces it; of others only a lower
-    /// limit counts.
+    /// Responses arrive out of order. A response to a request that was sent after the last
+    /// notice was received is certainly newer and replaces it. Of other responses, only a
+    /// lower limit is applied.
     pub fn update(
         quota: &mut Option<Quota>,
         notice: Notice,
@@ -263,25 +268,25 @@
         }
     }
 
-    /// Takes this gateway's place by another list of gateways.
+    /// Sets this gateway's place after the list of gateways changed.
     pub fn set_place(&mut self, place: Place, now: clock::Instant) {
         self.place = place;
         self.update_pace(now);
     }
 
-    /// Whether another gateway's word that it is lifted may be newer than the last one
-    /// that was heard here.
+    /// Returns whether another gateway's report that the limit is lifted may be newer than
+    /// the last notice that this gateway received.
     pub fn may_be_over(&self, now: clock::Instant) -> bool {
         now.since(self.received) >= MAX_NEWS_DELAY
     }
 
-    /// How long after it was lifted this gateway sends again.
+    /// Returns how long after the limit was lifted this gateway sends again.
     pub fn return_after(&self) -> Duration {
         RETURN_TIME.mul_f64(f64::from(self.place.rank) / f64::from(self.place.all))
     }
 
-    /// Brings the pace up to limit and place. Who becomes a holder waits as if it had
-    /// just heard of the limit: whoever was one before may not know yet.
+    /// Updates the pace to the limit and the place. A new holder waits as if it had just
+    /// received the limit, as the previous holder may not know of the change yet.
     fn update_pace(&mut self, now: clock::Instant) {
         let pace = Pace::new(self.limit, self.place);
         if pace.holder != self.pace.holder {
@@ -290,7 +295,7 @@
         self.pace = pace;
     }
 
-    /// When the next request may go.
+    /// Returns the time at which the next request may be sent.
     pub fn next(&self) -> clock::Instant {
         let first = self.role_since + self.pace.first;
         match self.last {
@@ -300,12 +305,12 @@
         }
     }
 
-    /// Whether a request may go now.
+    /// Returns whether a request may be sent now.
     pub fn admits(&self, now: clock::Instant) -> bool {
         now >= self.next()
     }
 
-    /// A request is sent.
+    /// Records that a request is sent.
     pub fn sent(&mut self, now: clock::Instant) {
         self.last = Some(self.next().max(now.before(MAX_CATCH_UP)).min(now));
     }
--- a/decision/src/routing/server.rs
+++ b/decision/src/routing/server.rs
@@ -1,4 +1,6 @@
-//! What one entry host knows of the backend servers.
+//! State that one entry host keeps of each backend server.
+//!
+//! Each run of a server's process has a record of its own, also under the same id.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -12,38 +14,38 @@
 use crate::routing::{eject, notice, rate, warmup};
 use crate::{attempt, clock, entity, limit, outage};
 
-/// Half-life of what a report says of other entry hosts' requests.
+/// Half-life of the reported load of other entry hosts' requests.
 pub const REPORT_HALF_LIFE: Duration = Duration::from_millis(1_000);
 
-/// Shortest and longest time without new work after a want of slots.
+/// Shortest and longest back-off after a server reported that it had no free slot.
 pub const BACK_OFF: (Duration, Duration) = (Duration::from_millis(20), Duration::from_millis(320));
 
-/// Lots that are told apart when gateways come back to one that rested.
+/// Number of distinct jitter values for gateways that return to a server after a rest.
 const JITTER_STEPS: u64 = 1_024;
 
-/// Load that a backend server tells with an answer.
+/// Load that a backend server reports in a response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Load {
-    /// Requests that run.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests that wait inside it.
+    /// Number of requests queued inside the server.
     pub waiting: u32,
-    /// Requests that may run at a time.
+    /// Number of requests that may run at a time.
     pub slots: u32,
 }
 
-/// A load report of an agent.
+/// Load report of an agent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Report {
-    /// The run of the agent that reports.
+    /// Incarnation of the agent.
     pub incarnation: attempt::Incarnation,
-    /// Counts the reports of that run.
+    /// Sequence number of the report within that incarnation.
     pub sequence: u64,
-    /// Requests that run on the backend server.
+    /// Number of requests that run on the backend server.
     pub running: u32,
-    /// Requests that wait inside the backend server.
+    /// Number of requests queued inside the backend server.
     pub queued: u32,
-    /// Requests that the agent lets in at a time.
+    /// Number of requests that the agent admits at a time.
     pub slots: u32,
     /// Whether the agent or its backend server is leaving.
     pub leaving: bool,
@@ -51,63 +53,64 @@
     pub alive: bool,
 }
 
-/// What the host list says of a backend server.
+/// Entry of a backend server in the host list.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Listing {
-    /// Id of its host.
+    /// Id of the server's host.
     pub host: Arc<str>,
-    /// When its run started, Unix milliseconds, where that is told.
+    /// Start time of the server's run in Unix milliseconds, if it is reported.
     pub born: Option<u64>,
-    /// Pool that it belongs to.
+    /// Pool of the server.
     pub pool: entity::Pool,
-    /// Group that it runs in lock-step with, if it is a rank of one.
+    /// Lock-step group of the server, if it is a rank of one.
     pub group: Option<entity::Group>,
-    /// What its entry tells of the group.
+    /// State of the group as the server's entry reports it.
     pub news: Option<outage::News>,
-    /// Its availability zone.
+    /// Availability zone of the server.
     pub zone: Arc<str>,
-    /// Whether that is the entry host's own.
+    /// Whether the server is in the entry host's availability zone.
     pub local: bool,
-    /// Whether the list or the bundle has it leaving.
+    /// Whether the list or the bundle marks the server as leaving.
     pub leaving: bool,
-    /// Whether its availability zone is drained: it lives, and gets nothing.
+    /// Whether the server's availability zone is drained: it runs but gets no requests.
     pub drained: bool,
-    /// What it can serve while it is cold.
+    /// Rate that the server can serve while it is cold.
     pub cold: Option<warmup::Cold>,
 }
 
-/// One backend server.
+/// One run of a backend server.
 #[derive(Debug, Clone)]
 pub struct Record {
-    /// What the host list says.
+    /// Entry in the host list.
     pub listing: Listing,
     /// Hash of the host's id, the same at every entry host.
     pub hash: u64,
-    /// Whether the host list still has it.
+    /// Whether the host list still contains the run.
     pub listed: bool,
     /// Whether the agent's report stream is open.
     pub connected: bool,
-    /// The newest report.
+    /// Newest report.
     pub report: Report,
-    /// When it came.
+    /// Time at which the newest report was received.
     pub reported: clock::Instant,
-    /// Own requests in flight when it came.
+    /// Own requests in flight when the newest report was received.
     own_at_report: u32,
     /// Own requests in flight.
     pub in_flight: u32,
-    /// Own requests that may be in flight.
+    /// Limit of own requests in flight.
     pub window: limit::Window,
-    /// It had no slot a moment ago: until then it gets nothing more.
+    /// End of the back-off after a rejection; until then the server gets no requests.
     back_off_until: clock::Instant,
-    /// Refusals for want of a slot since it last answered.
+    /// Back-off exponent: incremented by each rejection for lack of a free slot, halved by
+    /// each response.
     refusals: u32,
-    /// Record of its failures.
+    /// Failures and latency.
     pub health: eject::Health,
-    /// What it has said of its own near future.
+    /// Rests and departures that the server announced.
     pub standing: notice::Standing,
-    /// The rate limit that it names, where it names one.
+    /// Share of the rate limit that the server reports, if there is one.
     pub quota: Option<rate::Quota>,
-    /// Its schedule while it is cold.
+    /// Schedule of requests while the server is cold.
     schedule: Option<warmup::Schedule>,
 }
 
@@ -132,38 +135,39 @@
         }
     }
 
-    /// Whether it may be of the run that started then: a start that is not told,
-    /// before or now, makes it no other one.
+    /// Returns whether the record may be of the run that started at `born`. An unknown
+    /// start time on either side matches any run.
     fn is_run(&self, born: Option<u64>) -> bool {
         !matches!((self.listing.born, born), (Some(own), Some(other)) if own != other)
     }
 
-    /// Takes another listing of the same run.
+    /// Replaces the listing by a newer one of the same run.
     fn relist(&mut self, listing: Listing) {
         let born = listing.born.or(self.listing.born);
         self.listing = Listing { born, ..listing };
         self.listed = true;
     }
 
-    /// Whether it may be given new work at all.
+    /// Returns whether the server may get new requests, regardless of its load and limits.
     pub fn usable(&self) -> bool {
         self.present() && !self.listing.drained
     }
 
-    /// Whether it serves, though perhaps only what it has and what others send it.
+    /// Returns whether the server serves requests. In a drained zone it gets none from this
+    /// entry host, but serves those that it has and those that others send.
     pub fn present(&self) -> bool {
         self.listed && self.connected && !self.leaving() && self.report.alive
     }
 
-    /// Whether it is about to end, as far as the host list, its agent or it itself
-    /// has told.
+    /// Returns whether the host list, the agent or the server itself reports that the
+    /// server is leaving.
     pub fn leaving(&self) -> bool {
         self.listing.leaving || self.report.leaving || self.standing.leaving()
     }
 
-    /// Whether it may be given one more request now. What it says itself goes
-    /// before what is guessed: one that refuses all looks idle, and would be
-    /// chosen before those that have room.
+    /// Returns whether the server may get one more request now. Its own announcements take
+    /// precedence over the estimated load: a server that rejects all requests looks idle
+    /// and would be preferred to servers with free slots.
     pub fn open(&self, now: clock::Instant) -> bool {
         let blocked = now < self.back_off_until || self.health.ejected(now);
         let blocked = blocked || self.schedule.is_some_and(|schedule| !schedule.admits(now));
@@ -174,7 +178,8 @@
             && self.in_flight < self.window.size()
     }
 
-    /// Gives it schedule if it has told that it is cold since the last look.
+    /// Creates a schedule if the server has reported that it is cold since the last call,
+    /// and removes it once the server is warm.
     pub fn warm_up(&mut self, share: Share, now: clock::Instant) {
         let Some(cold) = self.listing.cold.filter(|cold| now < cold.until) else {
             self.schedule = None;
@@ -185,7 +190,7 @@
         }
     }
 
-    /// A request is sent to it.
+    /// Records that a request is sent to the server.
     pub fn sent(&mut self, now: clock::Instant) {
         self.in_flight += 1;
         self.standing.sent();
@@ -197,16 +202,17 @@
         }
     }
 
-    /// Until when it is to get nothing by its own word; none where it may get
-    /// something now. Of a rest and a rate limit the later end holds.
+    /// Returns the time until which the server gets no requests because of a rest or a rate
+    /// limit, whichever ends later, or `None` if neither applies now.
     pub fn closed_until(&self, now: clock::Instant) -> Option<clock::Instant> {
         let rest = self.standing.rests(now).then(|| self.standing.until());
         let turn = self.quota.map(|quota| quota.next()).filter(|next| now < *next);
         rest.max(turn)
     }
 
-    /// Another gateway found that the rate limit of a run that started then is lifted:
-    /// all come back one after the other. Returns for how long there was one.
+    /// Lifts the rate limit after another gateway reported that it is lifted for the run
+    /// that started at `born`. Gateways return to the server one after the other. Returns
+    /// for how long a limit was in force.
     pub fn lift(&mut self, born: Option<u64>, now: clock::Instant) -> Option<Duration> {
         let quota = self.quota.filter(|quota| self.is_run(born) && quota.may_be_over(now))?;
         self.quota = None;
@@ -214,7 +220,7 @@
         Some(now.since(quota.since()))
     }
 
-    /// Takes what it says of its own near future.
+    /// Applies a notice of the server.
     pub fn apply_notice(
         &mut self,
         notice: &notice::Notice,
@@ -224,25 +230,25 @@
         self.standing.apply(notice, jitter, now)
     }
 
-    /// It had no slot: it gets nothing more for a while, which doubles with each
-    /// time. Hundreds of entry hosts before few slots would otherwise send
-    /// far more attempts than requests.
+    /// Stops requests to the server for a back-off time after it reported that it had no
+    /// free slot. The time doubles with each such rejection. Without it, hundreds of entry
+    /// hosts with few slots to share would send far more attempts than requests.
     pub fn back_off(&mut self, now: clock::Instant) {
         let pause = BACK_OFF.0.saturating_mul(1 << self.refusals.min(16)).min(BACK_OFF.1);
-        // Entry hosts that were refused together come back apart.
+        // The jitter spreads out entry hosts that were rejected together.
         let percent = 50 + (self.hash ^ now.micros()) % 51;
         self.back_off_until = now + pause * percent as u32 / 100;
         self.refusals += 1;
     }
 
-    /// It answered: slots come free.
+    /// Shortens later back-off times after a response, which frees a slot.
     pub fn ease_back_off(&mut self) {
         self.refusals /= 2;
     }
 
-    /// Requests of others on it, as the last report had them, fading with age:
-    /// an old report says little, and every entry host that trusted it alike
-    /// would send to the same backend server.
+    /// Returns the number of other entry hosts' requests by the last report, with a weight
+    /// that decays with the report's age. An old report says little, and if all entry hosts
+    /// relied on it they would herd on the same backend server.
     fn others(&self, now: clock::Instant) -> f64 {
         let reported = self.report.running + self.report.queued;
         let others = f64::from(reported.saturating_sub(self.own_at_report));
@@ -250,20 +256,21 @@
         others * 0.5_f64.powf(age / REPORT_HALF_LIFE.as_secs_f64())
     }
 
-    /// Load in relation to the slots: own requests in flight are exact, those
-    /// of others are the faded report.
+    /// Returns the load relative to the slots: the exact number of own requests in flight
+    /// plus the decayed reported number of others' requests.
     pub fn score(&self, now: clock::Instant) -> f64 {
         let slots = f64::from(self.report.slots.max(1));
         (f64::from(self.in_flight) + self.others(now)) / slots
     }
 
-    /// Load in relation to the slots as the last report had it.
+    /// Returns the load relative to the slots by the last report.
     pub fn reported_score(&self) -> f64 {
         let reported = f64::from(self.report.running + self.report.queued);
         reported / f64::from(self.report.slots.max(1))
     }
 
-    /// Takes a report; a late one is dropped.
+    /// Applies a report. Returns whether it is newer than the last one; a stale one is
+    /// dropped.
     pub fn apply_report(&mut self, report: Report, now: clock::Instant) -> bool {
         let newer =
             (report.incarnation, report.sequence) > (self.report.incarnation, self.report.sequence);
@@ -297,7 +304,7 @@
     }
 }
 
-/// All backend servers that the entry host has heard of.
+/// All backend servers that the entry host knows.
 #[derive(Debug, Default)]
 pub struct Table {
     records: PrimaryMap<entity::Server, Record>,
@@ -306,11 +313,11 @@
 }
 
 impl Table {
-    /// Replaces the listings. One that is gone stays known while its requests
-    /// are in flight, and gets no new work. One that has started again is
-    /// another record: nothing that was learnt of its earlier run holds, but for
-    /// what the new one may have said itself. Returns the restarted ones, each with
-    /// whether it is uncertain that it stays.
+    /// Replaces the listings. A server that is no longer listed keeps its record for its
+    /// requests in flight and gets no new requests. A restarted server gets a new record:
+    /// nothing learned of its earlier run applies, except announcements that may come from
+    /// the new one. Returns the restarted servers, each with whether it has become uncertain
+    /// whether it leaves.
     pub fn list(
         &mut self,
         listings: Vec<Listing>,
@@ -337,8 +344,8 @@
         restarted
     }
 
-    /// Has a run take over what an earlier one said; returns whether it is no longer
-    /// certain that it stays.
+    /// Makes a run inherit the announcements of an earlier run. Returns whether this makes
+    /// it uncertain whether the run leaves.
     pub fn inherit(
         &mut self,
         server: entity::Server,
@@ -348,17 +355,17 @@
         let (standing, quota) =
             (self.records[earlier].standing.clone(), self.records[earlier].quota);
         let record = &mut self.records[server];
-        // The limit may be the new run's; its first answer tells.
+        // The limit may have been reported by the new run; its first response settles this.
         record.quota = record.quota.or(quota);
         record.standing.inherit(&standing, now)
     }
 
-    /// The newest run of the backend server on that host.
+    /// Returns the newest run of the backend server on this host.
     pub fn find(&self, host: &str) -> Option<entity::Server> {
         self.newest.get(host).copied()
     }
 
-    /// Takes the ranks of a group in again that were out for their failures.
+    /// Readmits the ranks of a group that were ejected for their failures.
     pub fn restore(&mut self, group: entity::Group, now: clock::Instant) {
         let ranks = self.records.values_mut().filter(|record| record.listing.group == Some(group));
         for record in ranks.filter(|record| record.health.ejected(now)) {
@@ -366,7 +373,7 @@
         }
     }
 
-    /// Takes another list of gateways: who uses the limits of servers changes.
+    /// Applies a new list of gateways, which changes the holders of rate limits.
     pub fn set_peers(&mut self, peers: &rate::Peers, now: clock::Instant) {
         for record in self.records.values_mut() {
             if let Some(quota) = &mut record.quota {
@@ -375,18 +382,18 @@
         }
     }
 
-    /// Gives schedule to those that have told that they are cold.
+    /// Updates the schedules of all listed servers that are or were cold.
     pub fn warm_up(&mut self, share: Share, now: clock::Instant) {
         let listed = self.records.values_mut().filter(|record| record.listed);
         listed.for_each(|record| record.warm_up(share, now));
     }
 
-    /// All backend servers, in the order of their ids.
+    /// Returns all backend servers in the order of their ids.
     pub fn iter(&self) -> impl Iterator<Item = (entity::Server, &Record)> {
         self.records.iter()
     }
 
-    /// Those of a pool that may be given new work, in the order of their ids.
+    /// Returns the usable servers of a pool in the order of their ids.
     pub fn usable(&self, pool: entity::Pool) -> impl Iterator<Item = (entity::Server, &Record)> {
         self.iter().filter(move |(_, record)| record.listing.pool == pool && record.usable())
     }
--- a/decision/src/routing/warmup.rs
+++ b/decision/src/routing/warmup.rs
@@ -1,25 +1,26 @@
-//! Backend servers that are cold can serve few requests, from all gateways together.
+//! Rate limit for cold backend servers, across all gateways.
 //!
-//! The pattern: a zone's servers come back cold together, look idle, and are
-//! preferred before those that have work; they fail at a rate that they can serve
-//! once warm. No gateway sees what the others send, so each has turns of its own:
-//! they are as far apart as the rate allows, and a turn that is not used is lost.
-//! Schedule that could be saved up would be spent together in the next burst.
+//! A cold server, such as one that has just restarted, can serve few requests a second.
+//! When the servers of a zone restart together, they look idle and are preferred to
+//! servers with load, and they fail at a rate that they could serve once warm. No gateway
+//! sees the requests of the others, so each one has periodic *turns*, short times in
+//! which it may send one request. The turns of all gateways are as far apart as the rate
+//! allows. An unused turn expires: accumulated turns would all be used in the next burst.
 
 use std::time::Duration;
 
 use crate::balancer::Share;
 use crate::clock;
 
-/// Longest time for which a turn can be used.
+/// Time after which an unused turn expires.
 const TURN_TIME: Duration = Duration::from_millis(500);
 
-/// How long a backend server is cold, and what it bears.
+/// Time for which a backend server is cold, and the rate that it can serve.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Cold {
-    /// Until when, as far as it has told.
+    /// Time until which the server is cold, as it reported.
     pub until: clock::Instant,
-    /// Requests a second that it can serve until then; above zero.
+    /// Requests a second that the server can serve until then; above zero.
     pub rate: f64,
 }
 
@@ -27,15 +28,17 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Schedule {
     cold: Cold,
+    /// Start of the first turn.
     first: clock::Instant,
+    /// Time between two turns of this gateway.
     interval: Duration,
-    /// Number of the turn that was used last.
+    /// Number of the last turn that was used.
     last_used: Option<u64>,
 }
 
 impl Schedule {
-    /// Schedule from now on. `hash` tells servers apart, so that a gateway's turns at
-    /// several do not come together.
+    /// Returns a schedule that starts at `now`. `hash` differs between servers, so that a
+    /// gateway's turns at several servers do not coincide.
     pub fn new(cold: Cold, share: Share, hash: u64, now: clock::Instant) -> Schedule {
         let step = Duration::from_secs_f64(1.0 / cold.rate);
         let gateways = u64::from(share.of.max(1));
@@ -48,12 +51,12 @@
         }
     }
 
-    /// What the backend server has told.
+    /// Returns the reported values that the schedule is based on.
     pub fn cold(&self) -> Cold {
         self.cold
     }
 
-    /// Number of the turn that can be used now.
+    /// Returns the number of the turn that can be used now.
     fn current_turn(&self, now: clock::Instant) -> Option<u64> {
         if now < self.first {
             return None;
@@ -67,12 +70,12 @@
         (within < TURN_TIME.as_micros() && self.last_used != Some(number)).then_some(number)
     }
 
-    /// Whether the backend server may get one more request now.
+    /// Returns whether the backend server may get one more request now.
     pub fn admits(&self, now: clock::Instant) -> bool {
         now >= self.cold.until || self.current_turn(now).is_some()
     }
 
-    /// A request is sent to it.
+    /// Records that a request is sent to the server.
     pub fn sent(&mut self, now: clock::Instant) {
         self.last_used = self.current_turn(now).or(self.last_used);
     }
--- a/decision/tests/poison.rs
+++ b/decision/tests/poison.rs
@@ -1,4 +1,4 @@
-//! Which requests are blamed for servers that ended.
+//! Attribution of servers' ends to requests, and the refusal of poison requests.
 
 #![allow(clippy::unwrap_used, reason = "a test that fails may panic")]
 
@@ -23,15 +23,15 @@
     clock::Instant::from_millis(ms)
 }
 
-/// When most is told: all ends have settled.
+/// Default time of merges, at which all ends have settled.
 const NOW: clock::Instant = clock::Instant::from_micros(1_400_000);
 
 fn item(server: u32, name: &str, mark: Mark) -> Item {
     Item { run: run(server), digest: request(name), mark, at: at(1_000) }
 }
 
-/// Servers that ended, each with the requests that were on it; a star is before
-/// those that were sent there as the only suspect.
+/// Builds a ledger from servers that ended, each with the requests that were on it. A star
+/// marks requests that were sent there as the only suspect.
 fn ledger(ends: &[(u32, &[&str])]) -> Ledger {
     let mut ledger = Ledger::default();
     for (server, names) in ends {
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn one_end_refuses_nobody() {
+fn a_single_end_refuses_no_request() {
     let ledger = ledger(&[(1, &["guilty", "a", "b"])]);
     assert_eq!(ledger.standing(request("guilty")), Standing::Suspect(1));
     assert_eq!(ledger.standing(request("other")), Standing::Sound);
@@ -54,15 +54,15 @@
 }
 
 #[test]
-fn the_second_end_refuses_who_was_the_only_suspect_there() {
+fn refuses_the_only_suspect_at_its_second_end() {
     let mut ledger = ledger(&[(1, &["guilty", "a", "b"]), (2, &["*guilty", "c"])]);
-    // It may have been the one that came new; it is not sent again meanwhile.
+    // The new request `c` may have ended the second server, so the suspect is deferred.
     assert_eq!(ledger.standing(request("guilty")), Standing::Suspect(2));
     assert!(ledger.awaits(request("guilty"), NOW));
     ledger.clear(request("c"));
     assert_eq!(ledger.standing(request("guilty")), Standing::Refused(2));
-    // The others are no suspects any more: both ends are explained. Until one has
-    // come to its end it runs apart all the same.
+    // Both ends are explained, so the others are no longer suspects. Each still runs apart
+    // from suspects until it has completed.
     for other in ["a", "b"] {
         assert_eq!(ledger.standing(request(other)), Standing::Sound, "{other}");
         assert!(ledger.apart(request(other)));
@@ -72,13 +72,14 @@
     assert!(!ledger.apart(request("a")) && !ledger.apart(request("other")));
 }
 
-/// The pattern: two requests end a server each, and a proper one was on both.
+/// A plain count of ends would refuse a proper request that was on two servers, each of
+/// which another request ended.
 #[test]
-fn who_was_cut_by_two_others_is_not_refused_for_it() {
+fn does_not_refuse_a_request_interrupted_by_two_others() {
     let mut ledger = ledger(&[(1, &["x", "proper", "a"]), (2, &["y", "proper", "b"])]);
     assert_eq!(ledger.standing(request("proper")), Standing::Suspect(2));
     assert_eq!(ledger.refused().count(), 0);
-    // Each of the others ends one more server as the only suspect there.
+    // Each of the other two ends one more server as the only suspect there.
     for (server, name) in [(3, "x"), (4, "y")] {
         ledger.merge(&item(server, name, Mark::Alone), NOW);
         assert_eq!(ledger.standing(request(name)), Standing::Refused(2));
@@ -86,10 +87,10 @@
     assert_eq!(ledger.standing(request("proper")), Standing::Sound);
 }
 
-/// The pattern: a new request that ends its servers lands beside a proper one
-/// that is tried alone, sent there by another gateway.
+/// A proper suspect that is tried alone must not be refused if another gateway sends a new
+/// poison request to the same server.
 #[test]
-fn a_new_request_beside_the_suspect_does_not_have_it_refused() {
+fn does_not_refuse_a_suspect_that_ran_beside_a_new_request() {
     let mut ledger = ledger(&[(1, &["x", "proper"]), (2, &["*proper", "new"])]);
     assert_eq!(ledger.standing(request("proper")), Standing::Suspect(2));
     assert_eq!(ledger.refused().count(), 0);
@@ -97,21 +98,22 @@
     ledger.merge(&item(3, "new", Mark::Alone), NOW);
     assert_eq!(ledger.standing(request("new")), Standing::Refused(2));
     assert_eq!(ledger.standing(request("proper")), Standing::Suspect(1));
-    assert!(!ledger.awaits(request("proper"), NOW), "it is known who it was");
+    assert!(!ledger.awaits(request("proper"), NOW), "it is known which request ended the server");
 }
 
-/// Nobody is held back for long by callers that do not come back.
+/// A suspect must not be deferred without bound if the clients of the requests beside it
+/// never retry.
 #[test]
-fn a_suspect_is_held_back_beside_a_new_request_for_a_bounded_time() {
+fn defers_a_suspect_beside_a_new_request_for_a_bounded_time() {
     let ledger = ledger(&[(1, &["x", "proper"]), (2, &["*proper", "new"])]);
     assert!(ledger.awaits(request("proper"), at(2_400)));
     assert!(!ledger.awaits(request("proper"), at(2_600)));
 }
 
-/// The pattern: a guilty request and a proper one are sent to one server by two
-/// gateways, which know of their own first.
+/// Two gateways send a poison request and a proper one to the same server. Each knows only
+/// its own request at first, which must not be refused as the only one there.
 #[test]
-fn an_end_proves_nothing_before_all_have_told_of_it() {
+fn an_end_is_no_proof_before_it_has_settled() {
     let mut ledger = ledger(&[(1, &["guilty", "proper"])]);
     let later = |name| Item { at: at(2_000), ..item(2, name, Mark::Alone) };
     ledger.merge(&later("proper"), at(2_010));
@@ -119,7 +121,7 @@
     ledger.merge(&later("guilty"), at(2_020));
     ledger.expire(at(2_000) + SETTLE_TIME);
     assert_eq!(ledger.refused().count(), 0);
-    // The guilty one ends a third server.
+    // The poison request ends a third server.
     ledger.merge(&Item { at: at(3_000), ..item(3, "guilty", Mark::Alone) }, at(3_010));
     assert_eq!(ledger.refused().count(), 0);
     ledger.expire(at(3_000) + SETTLE_TIME);
@@ -128,7 +130,7 @@
 }
 
 #[test]
-fn a_proof_holds_once_it_has_settled() {
+fn an_end_is_proof_once_it_has_settled() {
     let mut ledger = ledger(&[(1, &["guilty", "a"])]);
     ledger.merge(&Item { at: at(2_000), ..item(2, "guilty", Mark::Alone) }, at(2_010));
     assert_eq!(ledger.standing(request("guilty")), Standing::Suspect(2));
@@ -137,15 +139,16 @@
     assert_eq!(ledger.standing(request("guilty")), Standing::Refused(2));
 }
 
-/// Two gateways each sent one suspect to the same server.
+/// If two gateways each send a suspect to the same server, its end proves nothing about
+/// either.
 #[test]
-fn two_that_were_sent_to_one_server_prove_nothing() {
+fn does_not_refuse_two_suspects_sent_to_one_server() {
     let ledger = ledger(&[(1, &["x", "y"]), (2, &["*x", "*y"])]);
     assert_eq!(ledger.refused().count(), 0);
 }
 
 #[test]
-fn two_that_were_there_both_times_are_told_apart_by_the_third_end() {
+fn third_end_separates_two_requests_with_the_same_ends() {
     let mut ledger = ledger(&[(1, &["guilty", "a"]), (2, &["guilty", "a"])]);
     assert_eq!(ledger.standing(request("guilty")), Standing::Suspect(2));
     assert_eq!(ledger.standing(request("a")), Standing::Suspect(2));
@@ -155,7 +158,7 @@
 }
 
 #[test]
-fn who_comes_to_its_end_leaves_the_other_one() {
+fn completion_of_a_request_leaves_the_other_one_as_the_cause() {
     let mut ledger = ledger(&[(1, &["guilty", "a"]), (2, &["guilty", "a"])]);
     assert_eq!(ledger.clear(request("a")).len(), 2);
     assert_eq!(ledger.standing(request("a")), Standing::Sound);
@@ -164,7 +167,7 @@
 }
 
 #[test]
-fn several_that_end_servers_at_the_same_time_are_each_found() {
+fn detects_several_concurrent_poison_requests() {
     let mut ledger =
         ledger(&[(1, &["x", "a"]), (2, &["y", "b"]), (3, &["*y", "c"]), (4, &["*x", "d"])]);
     assert_eq!(ledger.refused().count(), 0);
@@ -178,16 +181,16 @@
 }
 
 #[test]
-fn the_third_end_counts_whoever_else_was_there() {
+fn refuses_the_request_with_the_most_ends_at_its_third_end() {
     let ledger = ledger(&[(1, &["guilty", "a"]), (2, &["guilty", "a"]), (3, &["guilty", "b"])]);
     assert_eq!(ledger.standing(request("guilty")), Standing::Refused(3));
     assert_eq!(ledger.standing(request("a")), Standing::Sound);
 }
 
-/// The pattern: a proper request meets a guilty one on three servers, as their
-/// gateways share the servers in different ways while some are away.
+/// A proper request may be on the same three servers as a poison request, as gateways
+/// divide the servers differently while some gateways are absent. It must not be refused.
 #[test]
-fn two_that_were_on_the_same_three_servers_are_told_apart_by_the_next_end() {
+fn fourth_end_separates_two_requests_with_the_same_three_ends() {
     let all: &[&str] = &["*guilty", "*proper"];
     let mut ledger = ledger(&[(1, all), (2, all), (3, all)]);
     assert_eq!(ledger.refused().count(), 0);
@@ -200,16 +203,16 @@
 }
 
 #[test]
-fn the_fourth_end_counts_in_any_case() {
+fn refuses_at_the_fourth_end_in_any_case() {
     let all: &[&str] = &["guilty", "a"];
     let ledger = ledger(&[(1, all), (2, all), (3, all), (4, all)]);
     assert_eq!(ledger.standing(request("guilty")), Standing::Refused(4));
 }
 
-/// The pattern: one gateway has heard of its own request on the third server, and not yet of
-/// the other one, which was on all three as well.
+/// A gateway knows that its own request was on the third server, but has not received yet
+/// that another request was on all three as well. Its own request must not be refused.
 #[test]
-fn a_count_proves_nothing_before_all_have_told() {
+fn a_count_is_no_proof_before_the_last_end_has_settled() {
     let both: &[&str] = &["guilty", "proper"];
     let mut ledger = ledger(&[(1, both), (2, both)]);
     let third = |name| Item { at: at(2_000), ..item(3, name, Mark::Alone) };
@@ -221,16 +224,16 @@
 }
 
 #[test]
-fn the_end_of_one_run_counts_once_however_often_it_is_told() {
+fn repeated_reports_of_an_end_count_once() {
     let mut ledger = ledger(&[(1, &["a"])]);
     assert!(!ledger.merge(&item(1, "a", Mark::Suspect), at(1_500)));
     assert_eq!(ledger.standing(request("a")), Standing::Suspect(1));
 }
 
-/// The pattern: a server is back under its id, and one gateway takes it for its run
-/// of before as it ends again.
+/// A server restarts under its id and ends again while one gateway still takes it for its
+/// earlier run. Reports of that end with both runs must not count as two ends.
 #[test]
-fn an_end_is_one_whichever_run_it_is_told_of() {
+fn reports_of_one_end_with_different_runs_count_once() {
     let mut ledger = ledger(&[(1, &["x", "y"])]);
     let on = |name, born| Item {
         run: fleet::Run { id: "server-2".into(), born: Some(born) },
@@ -242,13 +245,13 @@
     assert_eq!(ledger.refused().count(), 0);
 }
 
-/// The pattern: a server starts again under its id and ends again, before its
-/// entry has told the new start.
+/// A server restarts under its id and ends again before its entry has the new start time.
+/// The second end must not be taken for the first one.
 #[test]
-fn a_run_that_ends_again_later_counts_twice() {
+fn a_later_end_of_the_same_run_counts_again() {
     let mut ledger = ledger(&[(1, &["guilty", "a"])]);
     let again = |ms| Item { at: at(ms), ..item(1, "guilty", Mark::Suspect) };
-    // Another gateway found the same end a little later.
+    // Another gateway detects the same end a little later.
     assert!(!ledger.merge(&again(1_400), at(1_400)));
     assert_eq!(ledger.standing(request("guilty")), Standing::Suspect(1));
     assert!(ledger.merge(&again(2_600), at(2_600) + SETTLE_TIME));
@@ -258,7 +261,7 @@
 }
 
 #[test]
-fn ends_are_forgotten() {
+fn ends_expire() {
     let mut ledger = ledger(&[(1, &["guilty"]), (2, &["guilty"])]);
     let later = at(1_000) + RETENTION;
     assert!(!ledger.merge(&item(3, "guilty", Mark::Suspect), later));
@@ -267,10 +270,10 @@
     assert_eq!(ledger.standing(request("guilty")), Standing::Sound);
 }
 
-/// A caller that makes new requests, each of which ends a server, fills the
-/// ledger: what convicts is kept longest.
+/// A client that sends new requests, each of which ends a server, fills the ledger. Ends
+/// that support a refusal must be evicted last.
 #[test]
-fn a_flood_of_ends_neither_grows_nor_frees() {
+fn many_ends_neither_exceed_the_limits_nor_lift_a_refusal() {
     let mut ledger = ledger(&[(1, &["guilty"]), (2, &["guilty"])]);
     for server in 10..1_000 {
         ledger.merge(&item(server, &format!("new-{server}"), Mark::Suspect), NOW);
@@ -282,10 +285,10 @@
     assert_eq!(ledger.standing(request("guilty")), Standing::Refused(2));
 }
 
-/// The pattern: a zone is cut off with resets, and a gateway finds all its
-/// backend servers beyond the cut ended in the same moment.
+/// A network partition resets all connections to a zone, and a gateway detects the end of
+/// all its backend servers there at the same moment.
 #[test]
-fn many_ends_at_once_are_blamed_on_no_request() {
+fn simultaneous_ends_are_not_blamed_on_requests() {
     let mut burst = Burst::default();
     for server in 1..=4 {
         assert_eq!(burst.found(&run(server), at(10)), None);
@@ -297,16 +300,16 @@
     assert_eq!(ledger.standing(request("a")), Standing::Sound);
 }
 
-/// The pattern: thousands of callers send the same, and it is on every server
-/// that ends.
+/// An identical request of thousands of clients is on every server that ends, and must not
+/// be blamed for these ends.
 #[test]
-fn what_came_to_its_end_of_late_is_remembered_for_a_while() {
+fn recent_completions_are_recorded_for_a_bounded_time() {
     let mut finished = Finished::default();
     finished.add(request("common"), NOW);
     assert!(finished.contains(request("common"), at(2_000)));
     assert!(!finished.contains(request("rare"), at(2_000)));
     assert!(!finished.contains(request("common"), at(62_000)));
-    // Of thousands of others only the last are kept, and what comes again.
+    // Of thousands of other requests, only the last ones and repeated ones are kept.
     for number in 0..10_000 {
         finished.add(request(&format!("other-{number}")), at(3_000));
         if number % 1_000 == 0 {
@@ -319,7 +322,7 @@
 }
 
 #[test]
-fn requests_differ_by_each_part() {
+fn digest_depends_on_each_part() {
     let parts = |parts: &[&str]| {
         let bytes: Vec<&[u8]> = parts.iter().map(|part| part.as_bytes()).collect();
         Digest::of(&bytes)
@@ -335,9 +338,9 @@
 }
 
 proptest! {
-    /// Gateways hear of the same items in different orders, and repeatedly.
+    /// Gateways receive the same items in different orders, and repeatedly.
     #[test]
-    fn the_order_of_news_does_not_matter(
+    fn merge_does_not_depend_on_the_order_of_items(
         rows in prop::collection::vec((0_u32..6, 0_usize..5, 0_usize..3), 1..40),
         swaps in prop::collection::vec((0_usize..40, 0_usize..40), 0..40),
     ) {
@@ -364,12 +367,12 @@
         }
     }
 
-    /// Whoever was on four servers that ended, or on three as the only one, and came to
-    /// its end nowhere, is refused or suspect of ends that others explain; nobody is
-    /// refused for one end, or for ends at which it never was the only request, before
-    /// the third.
+    /// A request that was on four servers that ended, or on three as the only one with that
+    /// many, and completed nowhere, is refused, unless other requests explain its ends. No
+    /// request is refused for one end, nor before the third end if it never was the only
+    /// request on a server.
     #[test]
-    fn refusals_have_grounds(
+    fn each_refusal_has_a_ground(
         rows in prop::collection::vec((0_u32..6, 0_usize..5, any::<bool>()), 1..40),
     ) {
         let mut ledger = Ledger::default();
@@ -395,22 +398,22 @@
                 let alike = |(other, there): (&usize, &BTreeSet<u32>)| {
                     other != name && there.is_superset(servers)
                 };
-                prop_assert!(!counted || !on.iter().any(alike), "another one was on as many");
+                prop_assert!(!counted || !on.iter().any(alike), "another request was on as many servers");
             }
             if let Standing::Suspect(ends) = standing {
                 prop_assert!(ends < 4);
                 let same = |other: &str| ledger.standing(request(other)) == standing;
                 let others = ["a", "b", "c", "d", "e"].into_iter().filter(|other| same(other));
-                prop_assert!(ends < 3 || others.count() > 1, "nobody else was on as many");
+                prop_assert!(ends < 3 || others.count() > 1, "no other request was on as many servers");
             }
         }
     }
 }
 
-/// A refusal tells what it is based on: without that, a proper request that is refused
-/// cannot be traced.
+/// Without the ground and the evidence in the log, the refusal of a proper request cannot
+/// be traced to its cause.
 #[test]
-fn a_refusal_names_its_ground_and_the_ends_that_it_goes_by() {
+fn a_refusal_reports_its_ground_and_evidence() {
     let mut ledger = ledger(&[(1, &["x", "guilty", "a"]), (2, &["*guilty", "b"])]);
     ledger.clear(request("b"));
     let verdict = ledger.verdict(request("guilty")).unwrap();
@@ -422,17 +425,17 @@
 }
 
 #[test]
-fn a_request_that_was_given_up_is_blamed_until_its_deadline_and_once() {
+fn an_abandoned_request_is_blamed_once_and_until_its_deadline() {
     let mut abandoned = poison::Abandoned::default();
     abandoned.add(&run(1), request("given-up"), at(2_000));
     abandoned.add(&run(2), request("given-up"), at(500));
     assert_eq!(abandoned.blame(&item(3, "other", Mark::Suspect)), []);
     assert_eq!(abandoned.blame(&item(1, "other", Mark::Cleared)), []);
-    // What others tell of the same request says nothing new.
+    // Reports of the same request by other gateways add nothing.
     assert_eq!(abandoned.blame(&item(1, "given-up", Mark::Suspect)), []);
     let blamed = item(1, "given-up", Mark::Suspect);
     assert_eq!(abandoned.blame(&item(1, "other", Mark::Alone)), [blamed]);
     assert_eq!(abandoned.blame(&item(1, "third", Mark::Suspect)), []);
-    // Its deadline had passed as the server ended.
+    // The deadline of the request had passed when the server ended.
     assert_eq!(abandoned.blame(&item(2, "other", Mark::Alone)), []);
 }
--- a/decision/tests/routes.rs
+++ b/decision/tests/routes.rs
@@ -1,4 +1,4 @@
-//! A request's route is the longest prefix of its host, and its key tells the team.
+//! Lookup of a request's route by the longest path prefix, and of its team by its key.
 
 #![allow(clippy::unwrap_used, reason = "a test that fails may panic")]
 
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn the_longest_prefix_wins() {
+fn selects_the_route_with_the_longest_prefix() {
     let table = table(None);
     let name = |path| table.find("vale.example", path, None).unwrap().route.name.to_string();
     assert_eq!(name("/x/y/z"), "deep");
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_key_tells_the_team_and_an_unknown_one_is_refused() {
+fn finds_the_team_by_key_and_rejects_unknown_keys() {
     let table = table(teams());
     let grant = table.find("vale.example", "/x/", Some("k3")).unwrap();
     assert_eq!(&*grant.team.as_ref().unwrap().name, "loja");
@@ -70,16 +70,16 @@
 }
 
 #[test]
-fn the_teams_priority_goes_before_the_routes() {
+fn team_priority_outranks_route_priority() {
     let table = table(teams());
     let precedence = |key| table.find("vale.example", "/x/", Some(key)).unwrap().precedence();
     assert!(precedence("k1") < precedence("k3"));
 }
 
 #[test]
-fn weights_split_the_draws() {
+fn splits_requests_by_target_weight() {
     let route = route("split", "/", &[("a", 90), ("b", 10), ("never", 0)]);
-    // The middles of a thousand equal parts of all draws.
+    // The midpoints of a thousand equal intervals of the range of draws.
     let draws =
         (0..1_000_u64).map(|part| ((2 * part + 1) * (u64::from(u32::MAX) + 1) / 2_000) as u32);
     let to_b = draws.filter(|draw| &**route.target(*draw) == "b").count();
--- a/decision/tests/runs.rs
+++ b/decision/tests/runs.rs
@@ -1,5 +1,5 @@
-//! A backend server that starts again under its id is another run: nothing
-//! that was learnt of the earlier one holds.
+//! A backend server that restarts under its id is a new run: nothing that was learned of
+//! the earlier run applies to it.
 
 #![allow(clippy::unwrap_used, reason = "a test that fails may panic")]
 
@@ -16,7 +16,7 @@
 }
 
 impl Setup {
-    /// A pool with one backend server, listed without a start.
+    /// Creates a pool with one backend server, listed with the start time 1,000.
     fn new() -> Setup {
         let rng = ChaCha8Rng::seed_from_u64(7);
         let policy = policy::Blend { rng, sample: 2, affinity_slack: 0.0 };
@@ -29,7 +29,7 @@
         setup
     }
 
-    /// Lists the backend server as one that started then.
+    /// Lists the backend server with this start time.
     fn list(&mut self, born: Option<u64>) -> entity::Server {
         let listing = server::Listing {
             host: "host".into(),
@@ -85,10 +85,10 @@
 }
 
 #[test]
-fn a_new_run_has_nothing_of_the_earlier_one() {
+fn a_new_run_inherits_no_state_of_the_earlier_one() {
     let mut setup = Setup::new();
     let old = setup.balancer.servers().find("host").unwrap();
-    // It has no room and is shut, with requests in flight.
+    // The server is full and backed off, with requests in flight.
     let (first, _) = setup.arrive();
     let (second, _) = setup.arrive();
     setup.balancer.end(first, balancer::End::Full, setup.now);
@@ -99,11 +99,11 @@
     let record = &setup.balancer.servers()[new];
     assert!(record.open(setup.now));
     assert_eq!((record.in_flight, record.health.latency()), (0, None));
-    assert!(!setup.balancer.servers()[old].usable(), "the earlier run gets nothing");
+    assert!(!setup.balancer.servers()[old].usable(), "the earlier run gets no requests");
     assert_eq!(setup.balancer.servers()[old].in_flight, 1);
 
-    // What ends at the earlier run, late, changes nothing at the new one; the
-    // request may go on there, as it has not tried it.
+    // A late end of an attempt at the earlier run changes nothing at the new one. The
+    // request may be retried there, as it has made no attempt at the new run.
     let failed = balancer::End::MayHaveRun { answer_begun: false };
     let actions = setup.balancer.end(second, failed, setup.now);
     assert_eq!(sent_to(&actions), Some(new));
@@ -112,14 +112,14 @@
 }
 
 #[test]
-fn the_same_run_stays_what_it_was() {
+fn relisting_the_same_run_keeps_its_state() {
     let mut setup = Setup::new();
     let before = setup.balancer.servers().find("host").unwrap();
     setup.arrive();
     assert_eq!(setup.list(Some(1_000)), before);
     assert_eq!(setup.balancer.servers()[before].in_flight, 1);
-    // A start that is told only later is no new one.
-    let mut untold = Setup::new();
-    let id = untold.list(Some(1_000));
-    assert_eq!(untold.list(Some(1_000)), id);
+    // A start time that becomes known later is no new run.
+    let mut unknown_start = Setup::new();
+    let id = unknown_start.list(Some(1_000));
+    assert_eq!(unknown_start.list(Some(1_000)), id);
 }
--- a/decision/tests/warmup.rs
+++ b/decision/tests/warmup.rs
@@ -1,5 +1,5 @@
-//! Backend servers that are cold get no more than they can serve, from all gateways
-//! together, however uneven the load.
+//! Cold backend servers get no more requests than they can serve, from all gateways
+//! together, with any distribution of the load.
 
 #![allow(clippy::unwrap_used, reason = "a test that fails may panic")]
 
@@ -10,15 +10,17 @@
 use loftcove_decision::routing::warmup::{Cold, Schedule};
 use proptest::prelude::*;
 
-/// Requests a second that the server can serve, and those that the users allow.
+/// Requests a second that the server can serve.
 const RATE: f64 = 14.0;
+/// Requests in one second that users of the system tolerate.
 const ALLOWED: usize = 26;
 const COLD: Duration = Duration::from_secs(4);
 const BEGIN: clock::Instant = clock::Instant::from_micros(10_000_000);
 
-/// When the server gets requests from gateways that would send one each
-/// millisecond, from `rush` on; each received of it that much later.
-fn arrivals(late_ms: &[u64], rush: Duration) -> Vec<clock::Instant> {
+/// Returns the times at which requests arrive at the server. From `burst_start` on, each
+/// gateway tries to send a request each millisecond. `late_ms` has the delay with which
+/// each gateway learns that the server is cold.
+fn arrivals(late_ms: &[u64], burst_start: Duration) -> Vec<clock::Instant> {
     let of = late_ms.len() as u32;
     let cold = Cold { until: BEGIN + COLD, rate: RATE };
     let schedule = |(number, late): (usize, &u64)| {
@@ -27,7 +29,7 @@
     };
     let mut schedules: Vec<Schedule> = late_ms.iter().enumerate().map(schedule).collect();
     let mut arrivals = Vec::new();
-    let mut now = BEGIN + rush;
+    let mut now = BEGIN + burst_start;
     while now < cold.until {
         for schedule in schedules.iter_mut().filter(|schedule| schedule.admits(now)) {
             schedule.sent(now);
@@ -49,20 +51,21 @@
 }
 
 proptest! {
-    /// A burst after a while without requests finds nothing saved up.
+    /// Unused turns must not accumulate, or a burst after a time without requests would
+    /// overload the server.
     #[test]
-    fn all_gateways_together_stay_below_what_is_allowed(
+    fn gateways_together_stay_below_the_tolerated_rate(
         late_ms in prop::collection::vec(0_u64..150, 1..120),
-        rush_ms in 0_u64..3_000,
+        burst_start_ms in 0_u64..3_000,
     ) {
-        let arrivals = arrivals(&late_ms, Duration::from_millis(rush_ms));
+        let arrivals = arrivals(&late_ms, Duration::from_millis(burst_start_ms));
         let most = max_in_one_second(&arrivals);
         prop_assert!(most <= ALLOWED, "{most} in a second from {} gateways", late_ms.len());
     }
 }
 
 #[test]
-fn a_cold_server_gets_what_it_capacity() {
+fn a_cold_server_gets_requests_up_to_its_capacity() {
     let arrivals = arrivals(&[0; 30], Duration::ZERO);
     let capacity = (RATE * COLD.as_secs_f64()) as usize;
     assert!(
@@ -73,7 +76,7 @@
 }
 
 #[test]
-fn a_warm_server_gets_all() {
+fn a_warm_server_is_not_limited() {
     let cold = Cold { until: BEGIN + COLD, rate: RATE };
     let schedule = Schedule::new(cold, Share { number: 29, of: 30 }, 7, BEGIN);
     assert!(!schedule.admits(BEGIN));
