--- a/decision/src/balancer/rest.rs
+++ b/decision/src/balancer/rest.rs
@@ -25,7 +25,7 @@
     ) -> (Option<notice::Change>, Vec<Action>) {
         // A rest that has ended unnoticed is distinct from one that may begin now.
         self.note_rested(now);
-        let change = self.servers[server].notice(notice, now);
+        let change = self.servers[server].apply_notice(notice, now);
         let mut actions = Vec::new();
         self.apply_to_newest_run(server, now);
         if change.is_some() {
@@ -198,7 +198,7 @@
         let notes = &mut self.notes;
         self.noticed.retain(|server| {
             let standing = &mut servers[*server].standing;
-            if let Some(time) = standing.ended(now) {
+            if let Some(time) = standing.end_rest(now) {
                 notes.push(Note::Rested(*server, time));
             }
             has_notice(&servers[*server], now)
--- a/decision/tests/limits.rs
+++ b/decision/tests/limits.rs
@@ -69,7 +69,7 @@
                 quota.sent(now);
             }
             let place = || place(self.number, listed.iter().copied(), zones);
-            Quota::hear(&mut self.quota, Notice::Limited(rate), place, (now, now));
+            Quota::update(&mut self.quota, Notice::Limited(rate), place, (now, now));
             self.informed.get_or_insert(now);
         }
         admitted
@@ -194,13 +194,13 @@
     // A server in a zone without gateways gets requests from gateways of other zones.
     let far = Peers::new(peer(1, 3), [peer(2, 3), peer(4, 3)]).place(SERVER, ZONE);
     let mut quota = None;
-    Quota::hear(&mut quota, Notice::Limited(limit(1.0)), || far, (at(0), at(0)));
+    Quota::update(&mut quota, Notice::Limited(limit(1.0)), || far, (at(0), at(0)));
     assert!(quota.unwrap().pace().holder);
 }
 
 /// Applies the notice of an answer that was read at `read`, to a request dispatched at `sent`.
 fn hear(quota: &mut Option<Quota>, notice: Notice, sent: u64, read: u64) -> Option<Change> {
-    Quota::hear(quota, notice, || place(0, 0..1, 1), (at(sent), at(read)))
+    Quota::update(quota, notice, || place(0, 0..1, 1), (at(sent), at(read)))
 }
 
 #[test]
