--- a/bench/src/capacity.rs
+++ b/bench/src/capacity.rs
@@ -45,7 +45,7 @@
     };
     println!("offer bytes={}", offer.encoded_len() + FRAMING);
     let shape = placement::TARGET;
-    let map = record::Map { epoch: record::Epoch(1), layout: layout::Layout::even(shape) };
+    let map = record::Map { epoch: record::Epoch(1), layout: layout::Layout::round_robin(shape) };
     let json = serde_json::to_vec(&map).map_or(0, |json| json.len());
     println!("map bytes={json} at 60 layers of 256 experts");
     let candidates: Vec<table::Candidate> = (0..12)
@@ -179,7 +179,7 @@
 fn decision_times() {
     for (name, shape) in [("today", placement::TODAY), ("target", placement::TARGET)] {
         let mut source = drift::Source::new(drift::Drift::Mornings, shape, 1);
-        let mut layout = layout::Layout::even(shape);
+        let mut layout = layout::Layout::round_robin(shape);
         let mut policy = policy::Incremental::new(placement::rules(1.0, 1.0));
         let mut times = Vec::new();
         for number in 0..20 {
--- a/bench/src/drift.rs
+++ b/bench/src/drift.rs
@@ -82,7 +82,7 @@
     /// The interval of that number, out of `count`; ask in order.
     pub fn interval(&mut self, number: usize, count: usize) -> Interval {
         let late = number * 2 >= count;
-        let mut health = cost::Health::sound(self.shape.ranks);
+        let mut health = cost::Health::healthy(self.shape.ranks);
         match self.drift {
             Drift::SlowRank if late => health.slowness[0] = 2.0,
             Drift::LostRank if late => health.slowness[0] = f64::INFINITY,
--- a/bench/src/placement.rs
+++ b/bench/src/placement.rs
@@ -36,7 +36,7 @@
     intervals: usize,
 ) -> Score {
     let mut source = drift::Source::new(drift, shape, 1);
-    let mut layout = layout::Layout::even(shape);
+    let mut layout = layout::Layout::round_robin(shape);
     let mut skews = Vec::with_capacity(intervals);
     let mut loads = 0;
     let mut changes = 0;
@@ -76,7 +76,7 @@
     pub fn new(drift: drift::Drift, shape: layout::Shape, intervals: usize) -> Hindsight {
         let mut source = drift::Source::new(drift, shape, 1);
         let mut mean = load::Load::new(shape.layers as usize, shape.experts as usize);
-        let mut health = cost::Health::sound(shape.ranks);
+        let mut health = cost::Health::healthy(shape.ranks);
         for number in 0..intervals {
             let interval = source.interval(number, intervals);
             mean.blend(&interval.load, 1.0 / (number + 1) as f64);
--- a/bench/src/spread.rs
+++ b/bench/src/spread.rs
@@ -24,7 +24,7 @@
     for ranks in RANKS {
         let experts = SHAPE.1 * ranks;
         let mut rng = ChaCha8Rng::seed_from_u64(1);
-        let mut map = difference::dealt(SHAPE.0, experts, ranks);
+        let mut map = difference::round_robin(SHAPE.0, experts, ranks);
         for _ in 0..SHIFTS {
             let loads: Vec<Vec<f64>> =
                 (0..SHAPE.0).map(|_| (0..experts).map(|_| load(&mut rng)).collect()).collect();
@@ -43,7 +43,7 @@
 fn search(
     map: difference::Map,
     loads: &[Vec<f64>],
-    (even, least_gain): (f64, f64),
+    (even, min_gain): (f64, f64),
 ) -> difference::Map {
     let demand = |load| spread::Demand { load, slowness: &[] };
     let demand: Vec<spread::Demand<'_>> = loads.iter().map(|load| demand(load)).collect();
@@ -51,7 +51,8 @@
     let times =
         stage::Times { copy: Duration::from_millis(200), switch: Duration::from_millis(300) };
     let begun = Instant::now();
-    let stage = stage::plan(&map, &demand, bounds, spread::Goal { even, least_gain }, times);
+    let stage =
+        stage::plan(&map, &demand, bounds, spread::Goal { target_peak: even, min_gain }, times);
     let ms = begun.elapsed().as_secs_f64() * 1_000.0;
     let Some(stage) = stage else { return map };
     let bytes = difference::encode(&map, &stage.map).map_or(0, |bytes| bytes.len());
--- a/daemon/src/agent/orders.rs
+++ b/daemon/src/agent/orders.rs
@@ -57,7 +57,7 @@
         fence: gate::Fence(message.fence),
         digest: message.digest,
     };
-    let ruling = match gate.weigh(&order) {
+    let ruling = match gate.check(&order) {
         Ok(()) => obey(agent, &mut gate, &order, &message.map).await,
         Err(gate::Refusal::Unready) => wire::Ruling::Unready,
         Err(gate::Refusal::Stale(_)) => wire::Ruling::Stale,
@@ -99,7 +99,7 @@
         return wire::Ruling::Failed;
     }
     if order.action == gate::Action::Prepare {
-        gate.prepared(order);
+        gate.record_prepared(order);
     }
     wire::Ruling::Done
 }
--- a/daemon/src/entry/drive.rs
+++ b/daemon/src/entry/drive.rs
@@ -199,14 +199,14 @@
         let usable = record.active.as_ref().filter(|map| map.layout.shape == self.shape);
         let Some(current) = usable.map(|map| map.layout.clone()) else {
             self.note("reason=first-map");
-            self.change(record, revision, layout::Layout::even(self.shape)).await;
+            self.change(record, revision, layout::Layout::round_robin(self.shape)).await;
             return;
         };
         let Some(load) = self.collect().await else {
             self.note("choice=stay reason=counts-missing");
             return;
         };
-        let health = cost::Health::sound(self.shape.ranks);
+        let health = cost::Health::healthy(self.shape.ranks);
         let skew = cost::skew(&current, &load, &health);
         let rules = policy::Rules {
             skew_weight: self.rules.skew_weight,
@@ -237,7 +237,7 @@
     ) -> Option<layout::Layout> {
         let (entry, name) = (self.entry.clone(), self.name.clone());
         let decision = tokio::task::spawn_blocking(move || {
-            let health = cost::Health::sound(current.shape.ranks);
+            let health = cost::Health::healthy(current.shape.ranks);
             let mut groups = entry.groups.lock();
             let group = groups.entry(name).or_default();
             group.skew = Some(skew);
--- a/daemon/src/force.rs
+++ b/daemon/src/force.rs
@@ -82,7 +82,7 @@
         // Two envelopes may have been verified at a time: the gate decides,
         // and the store happens under its lock so that it cannot fall back.
         let mut gate = self.lock();
-        if !gate.enter(heard) {
+        if !gate.accept(heard) {
             return Err(Refusal::Old { heard, current: gate.current() });
         }
         self.bundle.store(Some(bundle.clone()));
--- a/decision/src/generation.rs
+++ b/decision/src/generation.rs
@@ -36,7 +36,7 @@
     }
 
     /// What to do with a bundle of that generation.
-    pub fn weigh(&self, heard: Generation) -> Verdict {
+    pub fn compare(&self, heard: Generation) -> Verdict {
         match heard.cmp(&self.current) {
             std::cmp::Ordering::Greater => Verdict::Newer,
             std::cmp::Ordering::Equal => Verdict::Same,
@@ -46,8 +46,8 @@
 
     /// Puts a verified bundle in force. Returns false, and changes nothing,
     /// where a newer one came in meanwhile.
-    pub fn enter(&mut self, verified: Generation) -> bool {
-        if self.weigh(verified) != Verdict::Newer {
+    pub fn accept(&mut self, verified: Generation) -> bool {
+        if self.compare(verified) != Verdict::Newer {
             return false;
         }
         self.current = verified;
--- a/decision/src/map/difference.rs
+++ b/decision/src/map/difference.rs
@@ -43,7 +43,7 @@
 }
 
 /// The map that a group opens with: experts dealt out in turn.
-pub fn dealt(sets: usize, experts: usize, ranks: usize) -> Map {
+pub fn round_robin(sets: usize, experts: usize, ranks: usize) -> Map {
     let list = |rank: usize| (rank..experts).step_by(ranks.max(1)).map(|expert| expert as u16);
     let set: Vec<Vec<u16>> = (0..ranks).map(|rank| list(rank).collect()).collect();
     vec![set; sets]
--- a/decision/src/map/fence.rs
+++ b/decision/src/map/fence.rs
@@ -17,7 +17,7 @@
     /// Takes a term of a driver of the rank's present group; returns the
     /// highest one seen in it. A rank that was moved to another group begins
     /// anew.
-    pub fn see(&mut self, group: &Arc<str>, term: u64) -> u64 {
+    pub fn observe(&mut self, group: &Arc<str>, term: u64) -> u64 {
         if self.group.as_ref() != Some(group) {
             *self = Fence { group: Some(group.clone()), term };
         }
--- a/decision/src/map/gate.rs
+++ b/decision/src/map/gate.rs
@@ -87,7 +87,7 @@
     /// # Errors
     ///
     /// A [`Refusal`]; nothing may then be sent to the backend server.
-    pub fn weigh(&mut self, order: &Order) -> Result<(), Refusal> {
+    pub fn check(&mut self, order: &Order) -> Result<(), Refusal> {
         let Some(fence) = self.fence else { return Err(Refusal::Unready) };
         if order.fence < fence {
             return Err(Refusal::Stale(fence));
@@ -104,7 +104,7 @@
     }
 
     /// The backend server has prepared the map.
-    pub fn prepared(&mut self, order: &Order) {
+    pub fn record_prepared(&mut self, order: &Order) {
         self.prepared = Some((order.epoch, order.digest));
     }
 }
--- a/decision/src/placement/cost.rs
+++ b/decision/src/placement/cost.rs
@@ -13,7 +13,7 @@
 
 impl Health {
     /// All ranks sound.
-    pub fn sound(ranks: u32) -> Health {
+    pub fn healthy(ranks: u32) -> Health {
         Health { slowness: vec![1.0; ranks as usize] }
     }
 
--- a/decision/src/placement/improve.rs
+++ b/decision/src/placement/improve.rs
@@ -6,8 +6,8 @@
 //! where what it has saved, less the price of its loads, is greatest. A move
 //! copies or moves an expert to another rank, trades it for a lighter one, or
 //! gives it the slot of a copy that is hardly used. What a chain saves is
-//! weighed under two views of the load, a quick and a slow average, of which
-//! the smaller counts: noise shows in the quick one only, and what is past in
+//! weighed under two views of the load, a fast and a slow average, of which
+//! the smaller counts: noise shows in the fast one only, and what is past in
 //! the slow one only.
 
 use crate::entity;
@@ -65,7 +65,7 @@
 }
 
 impl Chain {
-    fn worth(&self) -> f64 {
+    fn gain_per_load(&self) -> f64 {
         self.gain / f64::from(self.loads)
     }
 }
@@ -77,7 +77,7 @@
     pub loads: u32,
     /// Price of an expert load: time that it must save of each step of the
     /// group, in the unit of the load.
-    pub least_worth: f64,
+    pub min_gain_per_load: f64,
     /// Copies of one expert at the most.
     pub replicas: u32,
 }
@@ -86,7 +86,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct View<'a> {
     /// Average over the last few reports.
-    pub quick: &'a load::Load,
+    pub fast: &'a load::Load,
     /// Average over many.
     pub slow: &'a load::Load,
     /// How the ranks are.
@@ -100,7 +100,9 @@
         .layer_ids()
         .filter_map(|layer| Search::new(layout, view, bounds, layer).chain(bounds.loads))
         .collect();
-    chains.sort_by(|a, b| b.worth().total_cmp(&a.worth()).then(a.layer.cmp(&b.layer)));
+    chains.sort_by(|a, b| {
+        b.gain_per_load().total_cmp(&a.gain_per_load()).then(a.layer.cmp(&b.layer))
+    });
     let mut left = bounds.loads;
     let mut done = Vec::new();
     for mut chain in chains {
@@ -144,10 +146,10 @@
     slots: usize,
     bounds: Bounds,
     health: &'a cost::Health,
-    quick: &'a [f64],
+    fast: &'a [f64],
     slow: &'a [f64],
     experts: Vec<layout::Copies>,
-    /// Time of each rank under the quick view.
+    /// Time of each rank under the fast view.
     times: Vec<f64>,
     /// Experts of each rank.
     held: Vec<Vec<usize>>,
@@ -165,7 +167,7 @@
             slots: layout.shape.slots as usize,
             bounds,
             health: view.health,
-            quick: view.quick.layer(layer),
+            fast: view.fast.layer(layer),
             slow: view.slow.layer(layer),
             experts: layout.layers[layer.as_u32() as usize].clone(),
             times: Vec::new(),
@@ -176,7 +178,7 @@
     }
 
     fn refresh(&mut self) {
-        self.times = self.times_under(self.quick);
+        self.times = self.times_under(self.fast);
         self.held = vec![Vec::new(); self.health.slowness.len()];
         for (expert, copies) in self.experts.iter().enumerate() {
             copies.iter().for_each(|rank| self.held[*rank as usize].push(expert));
@@ -200,7 +202,7 @@
 
     /// The chain of moves that pays most within so many loads, if one pays.
     fn chain(mut self, most: u32) -> Option<Chain> {
-        let before = (self.slowest(self.quick), self.slowest(self.slow));
+        let before = (self.slowest(self.fast), self.slowest(self.slow));
         let mut steps: Vec<Step> = Vec::new();
         let mut loads = 0;
         let mut best: Option<(f64, Chain)> = None;
@@ -213,9 +215,8 @@
             apply(&mut self.experts, &step);
             self.refresh();
             steps.push(step);
-            let gain =
-                (before.0 - self.slowest(self.quick)).min(before.1 - self.slowest(self.slow));
-            let net = gain - self.bounds.least_worth * f64::from(loads);
+            let gain = (before.0 - self.slowest(self.fast)).min(before.1 - self.slowest(self.slow));
+            let net = gain - self.bounds.min_gain_per_load * f64::from(loads);
             if net > best.as_ref().map_or(0.0, |best| best.0) {
                 let steps = steps.clone();
                 best = Some((net, Chain { layer: self.layer, steps, gain, loads }));
@@ -262,7 +263,7 @@
             if may_copy && copies.len() > 1 {
                 kinds.push(Kind::Replace(*other));
             }
-            if !copies.contains(&from) && self.quick[*other] < self.quick[expert] {
+            if !copies.contains(&from) && self.fast[*other] < self.fast[expert] {
                 kinds.push(Kind::Trade(*other));
             }
         }
@@ -273,7 +274,7 @@
     /// ranks that the move changes is the slowest afterwards.
     fn relief(&self, step: &Step) -> f64 {
         let mut changes: Vec<(u32, f64)> = Vec::with_capacity(8);
-        let share = |expert: usize, copies: usize| self.quick[expert] / copies as f64;
+        let share = |expert: usize, copies: usize| self.fast[expert] / copies as f64;
         let copies = &self.experts[step.expert];
         let now = share(step.expert, copies.len());
         match step.kind {
--- a/decision/src/placement/layout.rs
+++ b/decision/src/placement/layout.rs
@@ -51,7 +51,7 @@
 
 impl Layout {
     /// Each expert once, dealt round the ranks.
-    pub fn even(shape: Shape) -> Layout {
+    pub fn round_robin(shape: Shape) -> Layout {
         let layer: Vec<Copies> =
             (0..shape.experts).map(|expert| vec![expert % shape.ranks]).collect();
         Layout { shape, layers: vec![layer; shape.layers as usize] }
@@ -110,7 +110,7 @@
         for (expert, copies) in experts.iter().enumerate() {
             let expert = entity::Expert::from_u32(expert as u32);
             if copies.is_empty() {
-                return Err(Fault::Homeless(layer, expert));
+                return Err(Fault::Unplaced(layer, expert));
             }
             if !copies.is_sorted_by(|a, b| a < b) {
                 return Err(Fault::Order(layer, expert));
@@ -140,7 +140,7 @@
     Experts(entity::Layer),
     /// No rank holds the expert.
     #[error("no rank holds {1} of {0}")]
-    Homeless(entity::Layer, entity::Expert),
+    Unplaced(entity::Layer, entity::Expert),
     /// The expert's ranks are not ascending, or one is there twice.
     #[error("ranks of {1} of {0} are not ascending")]
     Order(entity::Layer, entity::Expert),
--- a/decision/src/placement/policy.rs
+++ b/decision/src/placement/policy.rs
@@ -16,8 +16,11 @@
 /// A way to decide.
 pub trait Policy {
     /// The layout to go over to, or `None` to stay.
-    fn decide(&mut self, seen: Observation<'_>, current: &layout::Layout)
-    -> Option<layout::Layout>;
+    fn decide(
+        &mut self,
+        observation: Observation<'_>,
+        current: &layout::Layout,
+    ) -> Option<layout::Layout>;
 }
 
 /// Baseline: stays as it is.
@@ -42,13 +45,13 @@
 impl Policy for Once {
     fn decide(
         &mut self,
-        seen: Observation<'_>,
+        observation: Observation<'_>,
         current: &layout::Layout,
     ) -> Option<layout::Layout> {
         if std::mem::replace(&mut self.done, true) {
             return None;
         }
-        repack(seen, current, self.replicas)
+        repack(observation, current, self.replicas)
     }
 }
 
@@ -62,20 +65,20 @@
 impl Policy for Repack {
     fn decide(
         &mut self,
-        seen: Observation<'_>,
+        observation: Observation<'_>,
         current: &layout::Layout,
     ) -> Option<layout::Layout> {
-        repack(seen, current, self.replicas)
+        repack(observation, current, self.replicas)
     }
 }
 
 fn repack(
-    seen: Observation<'_>,
+    observation: Observation<'_>,
     current: &layout::Layout,
     replicas: u32,
 ) -> Option<layout::Layout> {
-    let mut packed = pack::pack(current.shape, seen.load, seen.health, replicas)?;
-    pack::relabel(&mut packed, current, seen.health);
+    let mut packed = pack::pack(current.shape, observation.load, observation.health, replicas)?;
+    pack::relabel(&mut packed, current, observation.health);
     (packed != *current).then_some(packed)
 }
 
@@ -93,7 +96,7 @@
     pub replicas: u32,
     /// Intervals for which a saving is expected to last.
     pub horizon: f64,
-    /// Weight of the newest observation in the quick and the slow average.
+    /// Weight of the newest observation in the fast and the slow average.
     pub gains: (f64, f64),
 }
 
@@ -130,15 +133,15 @@
     }
 
     fn observe(&mut self, load: &load::Load) -> &(load::Load, load::Load) {
-        let (quick, slow) = self.rules.gains;
+        let (fast, slow) = self.rules.gains;
         let averages = self.averages.get_or_insert_with(|| (load.clone(), load.clone()));
-        averages.0.blend(load, quick);
+        averages.0.blend(load, fast);
         averages.1.blend(load, slow);
         averages
     }
 
     /// What a load must save of each step at the least, in the load's unit.
-    fn least_worth(rules: &Rules, load: &load::Load, health: &cost::Health) -> f64 {
+    fn min_gain_per_load(rules: &Rules, load: &load::Load, health: &cost::Health) -> f64 {
         if rules.skew_weight <= 0.0 {
             return f64::INFINITY;
         }
@@ -151,17 +154,17 @@
 impl Policy for Incremental {
     fn decide(
         &mut self,
-        seen: Observation<'_>,
+        observation: Observation<'_>,
         current: &layout::Layout,
     ) -> Option<layout::Layout> {
         let rules = self.rules;
-        let (quick, slow) = self.observe(seen.load);
+        let (fast, slow) = self.observe(observation.load);
         let mut next = current.clone();
-        evacuate(&mut next, seen.health, slow);
-        let view = improve::View { quick, slow, health: seen.health };
+        evacuate(&mut next, observation.health, slow);
+        let view = improve::View { fast, slow, health: observation.health };
         let bounds = improve::Bounds {
             loads: rules.moves,
-            least_worth: Incremental::least_worth(&rules, slow, seen.health),
+            min_gain_per_load: Incremental::min_gain_per_load(&rules, slow, observation.health),
             replicas: rules.replicas,
         };
         improve::improve(&mut next, view, bounds);
@@ -186,7 +189,7 @@
                 *copies = kept;
                 continue;
             }
-            if let Some(rank) = refuge(layout, health, load, index) {
+            if let Some(rank) = evacuation_target(layout, health, load, index) {
                 layout.layers[index][expert] = vec![rank];
             }
         }
@@ -195,7 +198,7 @@
 
 /// The least loaded sound rank with a free slot in the layer; where none has
 /// one, a copy that another rank holds too gives way.
-fn refuge(
+fn evacuation_target(
     layout: &mut layout::Layout,
     health: &cost::Health,
     load: &load::Load,
--- a/decision/src/placement/spread.rs
+++ b/decision/src/placement/spread.rs
@@ -29,9 +29,9 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Goal {
     /// Load of the most loaded rank over the mean at which it is even enough.
-    pub even: f64,
+    pub target_peak: f64,
     /// Least gain of one change, as a part of the mean load.
-    pub least_gain: f64,
+    pub min_gain: f64,
 }
 
 /// Experts of a set by rank.
@@ -60,7 +60,7 @@
     let mut search = Search::new(before, demand, bounds);
     let mut room = vec![usize::MAX; before.len()];
     let mut changed = false;
-    while search.peak() > goal.even && search.advance(goal.least_gain, &mut room) {
+    while search.peak() > goal.target_peak && search.advance(goal.min_gain, &mut room) {
         changed = true;
     }
     changed.then_some(search.state.ranks)
@@ -94,11 +94,11 @@
     /// Makes the next change, if it takes that part of the mean load off the
     /// slowest rank. `room` has the experts that each rank may still take in,
     /// over all sets, and is kept up. Returns whether there was a change.
-    pub fn advance(&mut self, least_gain: f64, room: &mut [usize]) -> bool {
+    pub fn advance(&mut self, min_gain: f64, room: &mut [usize]) -> bool {
         if self.left == 0 {
             return false;
         }
-        let Some(change) = self.state.best(least_gain, room) else { return false };
+        let Some(change) = self.state.best(min_gain, room) else { return false };
         self.left -= 1;
         let [one, other] = change.ranks();
         let before = (self.state.taken(one), self.state.taken(other));
@@ -247,9 +247,9 @@
 
     /// The change that leaves the ranks it touches least busy, if it takes
     /// enough off the slowest rank.
-    fn best(&self, least_gain: f64, room: &[usize]) -> Option<Change> {
+    fn best(&self, min_gain: f64, room: &[usize]) -> Option<Change> {
         let from = self.slowest();
-        let limit = self.time(from, 0.0) - least_gain * self.ideal;
+        let limit = self.time(from, 0.0) - min_gain * self.ideal;
         let helpers = self.helpers(from, limit, room);
         let mut best: Option<(f64, Change)> = None;
         let mut offer = |worst: f64, change: Change| {
--- a/decision/src/placement/stage.rs
+++ b/decision/src/placement/stage.rs
@@ -104,13 +104,13 @@
         .iter()
         .map(Search::peak)
         .enumerate()
-        .filter(|(_, peak)| *peak > goal.even)
+        .filter(|(_, peak)| *peak > goal.target_peak)
         .collect();
     while let Some(place) = (0..open.len()).max_by(|a, b| open[*a].1.total_cmp(&open[*b].1)) {
         let set = open[place].0;
-        let advanced = searches[set].advance(goal.least_gain, room);
+        let advanced = searches[set].advance(goal.min_gain, room);
         open[place].1 = searches[set].peak();
-        if !advanced || open[place].1 <= goal.even {
+        if !advanced || open[place].1 <= goal.target_peak {
             open.remove(place);
         }
     }
--- a/decision/tests/difference.rs
+++ b/decision/tests/difference.rs
@@ -63,21 +63,21 @@
 
 #[test]
 fn experts_are_dealt_out_in_turn() {
-    assert_eq!(difference::dealt(1, 5, 2), vec![vec![vec![0, 2, 4], vec![1, 3]]]);
+    assert_eq!(difference::round_robin(1, 5, 2), vec![vec![vec![0, 2, 4], vec![1, 3]]]);
 }
 
 #[test]
 fn maps_of_another_shape_have_no_difference() {
-    let base = difference::dealt(2, 8, 4);
-    assert_eq!(difference::encode(&base, &difference::dealt(2, 8, 2)), None);
-    assert_eq!(difference::encode(&base, &difference::dealt(1, 8, 4)), None);
+    let base = difference::round_robin(2, 8, 4);
+    assert_eq!(difference::encode(&base, &difference::round_robin(2, 8, 2)), None);
+    assert_eq!(difference::encode(&base, &difference::round_robin(1, 8, 4)), None);
 }
 
 /// Bytes of a difference by the experts that come, for the largest groups.
 #[test]
 fn bytes_follow_the_change_and_not_the_map() {
     for ranks in [16, 192, 1_024] {
-        let base = difference::dealt(10, 2 * ranks, ranks);
+        let base = difference::round_robin(10, 2 * ranks, ranks);
         let mut map = base.clone();
         // A hundred experts come in the place of others.
         for number in 0..100 {
@@ -92,7 +92,7 @@
     }
     // The first change of a large group gives most ranks another expert.
     let (sets, ranks) = (10, 192);
-    let base = difference::dealt(sets, 2 * ranks, ranks);
+    let base = difference::round_robin(sets, 2 * ranks, ranks);
     let mut map = base.clone();
     for (set, rank) in (0..sets).flat_map(|set| (0..ranks).map(move |rank| (set, rank))) {
         map[set][rank].push(((rank * 5 + set + 1) % (2 * ranks)) as u16);
--- a/decision/tests/fences.rs
+++ b/decision/tests/fences.rs
@@ -23,10 +23,10 @@
 fn a_higher_term_of_another_group_supersedes_nobody() {
     let groups: [Arc<str>; 2] = ["g-1".into(), "g-2".into()];
     let mut fence = Fence::default();
-    assert_eq!(fence.see(&groups[0], 5), 5);
-    assert_eq!(fence.see(&groups[0], 3), 5);
+    assert_eq!(fence.observe(&groups[0], 5), 5);
+    assert_eq!(fence.observe(&groups[0], 3), 5);
     // The rank is moved: the first group's term says nothing any more.
-    assert_eq!(fence.see(&groups[1], 2), 2);
+    assert_eq!(fence.observe(&groups[1], 2), 2);
 }
 
 proptest! {
@@ -45,7 +45,7 @@
                 Event::Order { group, term } if group == own => {
                     let highest = if last.0 == own { last.1.max(term) } else { term };
                     last = (own, highest);
-                    prop_assert_eq!(fence.see(&groups[own], term), highest);
+                    prop_assert_eq!(fence.observe(&groups[own], term), highest);
                 }
                 // A rank refuses orders of another group by the group's name.
                 Event::Order { .. } => {}
--- a/decision/tests/maps.rs
+++ b/decision/tests/maps.rs
@@ -72,7 +72,7 @@
 }
 
 fn some_layout(salt: u8) -> layout::Layout {
-    let mut layout = layout::Layout::even(shape());
+    let mut layout = layout::Layout::round_robin(shape());
     let other = u32::from(salt) % RANKS as u32;
     layout.layers[0][usize::from(salt) % 4] = vec![other];
     layout
@@ -207,7 +207,7 @@
     }
 
     fn deliver(&mut self, Order { rank, order }: &Order) -> bool {
-        if self.gates[*rank].weigh(order).is_err() {
+        if self.gates[*rank].check(order).is_err() {
             return false;
         }
         let engine = &mut self.engines[*rank];
@@ -216,7 +216,7 @@
                 let active = engine.active;
                 engine.prepared.retain(|epoch, _| *epoch == active);
                 engine.prepared.insert(order.epoch.0, order.digest);
-                self.gates[*rank].prepared(order);
+                self.gates[*rank].record_prepared(order);
             }
             gate::Action::Activate if !engine.prepared.contains_key(&order.epoch.0) => {
                 return false;
--- a/decision/tests/spread.rs
+++ b/decision/tests/spread.rs
@@ -6,7 +6,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-const GOAL: Goal = Goal { even: 1.05, least_gain: 0.01 };
+const GOAL: Goal = Goal { target_peak: 1.05, min_gain: 0.01 };
 
 /// Ranks that are all as fast as usual.
 fn usual(load: &[f64]) -> Demand<'_> {
--- a/decision/tests/stage.rs
+++ b/decision/tests/stage.rs
@@ -9,7 +9,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-const GOAL: Goal = Goal { even: 1.05, least_gain: 0.01 };
+const GOAL: Goal = Goal { target_peak: 1.05, min_gain: 0.01 };
 const BOUNDS: Bounds = Bounds { placements: 9, spare: 4 };
 const RANKS: usize = 12;
 const EXPERTS: usize = 96;
--- a/sidecar/src/drive.rs
+++ b/sidecar/src/drive.rs
@@ -252,7 +252,7 @@
         let stage = plan::decide(known, &engine, &experts).await;
         let Some(stage) = stage else { return Ok(()) };
         known.versions += 1;
-        if known.versions >= version::MAPS_OF_A_TERM {
+        if known.versions >= version::MAPS_PER_TERM {
             return Err(Stopped::Exhausted);
         }
         let ranks = known.view.ranks.len();
--- a/sidecar/src/maps.rs
+++ b/sidecar/src/maps.rs
@@ -66,7 +66,7 @@
 fn opening(message: &wire::Difference, ranks: usize) -> Option<Arc<Map>> {
     let (sets, experts) = (message.sets as usize, message.experts as usize);
     let sound = sets.checked_mul(ranks)? <= MAX_LISTS && experts <= usize::from(u16::MAX) + 1;
-    let map = sound.then(|| difference::dealt(sets, experts, ranks))?;
+    let map = sound.then(|| difference::round_robin(sets, experts, ranks))?;
     (difference::digest(&map) == message.base).then(|| Arc::new(map))
 }
 
@@ -85,5 +85,5 @@
 /// A map as a message that every rank understands.
 pub fn whole(map: &Map, experts: usize) -> Option<wire::Difference> {
     let ranks = map.first()?.len();
-    message(&difference::dealt(map.len(), experts, ranks), map, experts)
+    message(&difference::round_robin(map.len(), experts, ranks), map, experts)
 }
--- a/sidecar/src/plan.rs
+++ b/sidecar/src/plan.rs
@@ -143,8 +143,8 @@
             slowness: known.slowness.clone(),
             bounds: spread::Bounds { placements: experts.placements, spare: experts.spare },
             goal: spread::Goal {
-                even: by_fill(known.fill, EVEN),
-                least_gain: by_fill(known.fill, LEAST_MOVE),
+                target_peak: by_fill(known.fill, EVEN),
+                min_gain: by_fill(known.fill, LEAST_MOVE),
             },
             times: Times { copy: copy_time(engine, experts), switch: known.switch_time() },
         })
--- a/sidecar/src/rank.rs
+++ b/sidecar/src/rank.rs
@@ -157,8 +157,8 @@
     /// highest one seen. A term of zero claims nothing.
     pub fn see(&self, group: &Arc<str>, term: u64) -> u64 {
         let mut fence = lock(&self.fence);
-        let before = fence.see(group, 0);
-        let highest = fence.see(group, term);
+        let before = fence.observe(group, 0);
+        let highest = fence.observe(group, term);
         if highest > before && before > 0 {
             log::info!("driver changed group={group} term={term} before={before}");
         }
--- a/sidecar/tests/relays.rs
+++ b/sidecar/tests/relays.rs
@@ -36,7 +36,7 @@
 }
 
 fn opening(ranks: usize) -> Map {
-    difference::dealt(SETS, 2 * ranks, ranks)
+    difference::round_robin(SETS, 2 * ranks, ranks)
 }
 
 /// All ranks confirmed and have exactly this map.
