--- a/decision/src/generation.rs
+++ b/decision/src/generation.rs
@@ -1,8 +1,8 @@
-//! Which bundle is in force: generations only rise.
+//! Generation of the active configuration bundle, which never decreases.
 
 use std::fmt;
 
-/// Number of a bundle put in force; zero stands for "none yet".
+/// Number of a bundle; zero means that none is active yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub struct Generation(pub u64);
 
@@ -12,40 +12,40 @@
     }
 }
 
-/// What to do with a bundle that was heard of.
+/// Relation of a received bundle to the active one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// It is newer: verify it and put it in force.
+    /// It is newer: verify and activate it.
     Newer,
-    /// It is the one in force.
+    /// It is the active one.
     Same,
-    /// It is older than the one in force: ignore it, whoever sent it.
+    /// It is older than the active one: ignore it, regardless of its sender.
     Older,
 }
 
-/// Holds the generation in force. Invariant: it never falls.
+/// Holder of the active generation. Invariant: it never decreases.
 #[derive(Debug, Default)]
 pub struct Gate {
     current: Generation,
 }
 
 impl Gate {
-    /// The generation in force.
+    /// Returns the active generation.
     pub fn current(&self) -> Generation {
         self.current
     }
 
-    /// What to do with a bundle of that generation.
-    pub fn compare(&self, heard: Generation) -> Verdict {
-        match heard.cmp(&self.current) {
+    /// Compares a received generation with the active one.
+    pub fn compare(&self, received: Generation) -> Verdict {
+        match received.cmp(&self.current) {
             std::cmp::Ordering::Greater => Verdict::Newer,
             std::cmp::Ordering::Equal => Verdict::Same,
             std::cmp::Ordering::Less => Verdict::Older,
         }
     }
 
-    /// Puts a verified bundle in force. Returns false, and changes nothing,
-    /// where a newer one came in meanwhile.
+    /// Makes the generation of a verified bundle the active one. Returns false and changes nothing
+    /// if one that is as new or newer was accepted in the meantime.
     pub fn accept(&mut self, verified: Generation) -> bool {
         if self.compare(verified) != Verdict::Newer {
             return false;
--- a/decision/src/map/change.rs
+++ b/decision/src/map/change.rs
@@ -1,10 +1,10 @@
-//! One change of a group's map, as its driver goes through it.
+//! State machine of the driver for one change of a group's map.
 //!
-//! Proposing, preparing, committing, activating. The driver may stop anywhere:
-//! until the commit the group goes on with its old map, and a later driver
-//! proposes anew under a fresh epoch; after it, every rank is prepared and a
-//! later driver activates again, which does no harm.
-#![allow(missing_docs, reason = "the state machine's macro makes types without documentation")]
+//! The states are proposing, preparing, committing and activating. The driver may crash in any of
+//! them. Before the commit, the group keeps its old map and a later driver proposes again under a
+//! new epoch. After the commit, every rank is prepared and a later driver repeats the activation,
+//! which is idempotent.
+#![allow(missing_docs, reason = "the state machine macro generates undocumented types")]
 
 use std::collections::BTreeSet;
 
@@ -13,44 +13,44 @@
 use crate::map::{gate, record};
 use crate::placement::layout;
 
-/// What happens to a change.
+/// Input of the state machine.
 #[derive(Debug, Clone)]
 pub enum Event {
-    /// The record was written, at that revision.
+    /// The record was written; the fence is its new revision.
     Written(gate::Fence),
-    /// The record was not written, or the write's fate stays open.
+    /// The record was not written, or the result of the write is unknown.
     NotWritten,
     /// A rank has prepared.
     Prepared(u32),
-    /// A rank refused, failed or did not answer in time.
+    /// A rank rejected the order, failed or did not answer in time.
     Failed(u32),
     /// Rank 0 launches steps on the new map.
     Activated,
 }
 
-/// What the driver is to do next.
+/// Action that the driver carries out next.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Command {
-    /// Write this record over the revision last known.
+    /// Write this record, conditional on the last known revision.
     Write(record::Record),
-    /// Order all ranks to prepare the map, under that fence.
+    /// Order all ranks to prepare the map, with this fence.
     Prepare(record::Map, gate::Fence),
-    /// Order rank 0 to activate the map, under that fence.
+    /// Order rank 0 to activate the map, with this fence.
     Activate(record::Map, gate::Fence),
 }
 
-/// How a change ended.
+/// Result of a change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum End {
-    /// The new map is in force.
+    /// The new map is active.
     Done,
-    /// It is in force, and rank 0 has not confirmed: activate again.
+    /// The new map is committed, but rank 0 has not confirmed: the activation must be repeated.
     Unconfirmed,
-    /// It is not in force; the group goes on with the old one.
+    /// The change was aborted; the group keeps the old map.
     Abandoned,
 }
 
-/// Data of the machine.
+/// Data of the state machine.
 #[derive(Debug)]
 pub struct Change {
     proposal: record::Record,
@@ -59,14 +59,14 @@
     end: Option<End>,
 }
 
-/// A change under way.
+/// Driver of a change in progress.
 pub struct Driver {
     machine: StateMachine<Change>,
 }
 
 impl Driver {
-    /// Begins a change from the record that was last read; returns the first
-    /// command too. The two nonces mark the two writes.
+    /// Begins a change of the given record, which was read last, and returns the first command
+    /// with the driver. The two nonces identify the two writes.
     pub fn begin(
         record: &record::Record,
         layout: layout::Layout,
@@ -80,14 +80,14 @@
         (Driver { machine }, first)
     }
 
-    /// Takes an event and returns what to do next, in order.
+    /// Handles an event and returns the next commands in order.
     pub fn step(&mut self, event: &Event) -> Vec<Command> {
         let mut commands = Vec::new();
         self.machine.handle_with_context(event, &mut commands);
         commands
     }
 
-    /// How the change ended, once it has.
+    /// Returns the result of the change, or `None` while it is in progress.
     pub fn ended(&self) -> Option<End> {
         self.machine.inner().end
     }
@@ -95,13 +95,13 @@
 
 impl Change {
     fn map(&self) -> record::Map {
-        // A change only exists with the map that it proposes.
+        // `Driver::begin` builds the proposal with `Record::propose`, which sets `next`.
         self.proposal.next.clone().expect("a proposal has a next map")
     }
 
     fn finish(&mut self, end: End) -> Outcome<State> {
         self.end = Some(end);
-        Transition(State::over())
+        Transition(State::finished())
     }
 }
 
@@ -163,7 +163,7 @@
     }
 
     #[state]
-    fn over(&mut self) -> Outcome<State> {
+    fn finished(&mut self) -> Outcome<State> {
         Handled
     }
 }
--- a/decision/src/map/difference.rs
+++ b/decision/src/map/difference.rs
@@ -1,55 +1,54 @@
-//! A map as its difference from another one that both sides hold.
+//! Encoding of a map as its difference from a base map that both sides have.
 //!
-//! A change moves a few experts of a map that is large, and every rank needs
-//! the whole of it. So what goes out is, set by set, the ranks whose experts
-//! change, and how: the distance from the changed rank before, the places of
-//! the experts that leave in the ascending list, and the numbers of those that
-//! come. Distances and counts are Exp-Golomb codes, which are short for small
-//! numbers; places and experts take the bits that the largest one needs. That
-//! is two to four bytes for an expert that comes. Both sides compare digests of
-//! the base and of the result, so a difference is never applied to another map.
+//! A change moves a few experts of a large map, and every rank needs the whole map. The encoding
+//! lists, for each layer set, the ranks whose experts change: the distance from the previous
+//! changed rank, the indices of the removed experts in the ascending list, and the numbers of the
+//! added experts. Distances and counts are Exp-Golomb codes, which are short for small numbers.
+//! Indices and experts take as many bits as the largest one needs. That makes two to four bytes
+//! per added expert. Both sides compare digests of the base and of the result, so that a
+//! difference is never applied to a different map.
 //!
-//! Lists are kept in ascending order here. The order within a rank means nothing
-//! to the work, but engines may compare maps to the letter, so a map must be the
-//! same whether a rank has it from a difference or not ([`canonical`]).
+//! Lists are kept in ascending order here. The order within a rank has no effect on the work of an
+//! engine, but engines may compare maps for exact equality. So a map must be the same whether or
+//! not a rank received it as a difference ([`canonical`]).
 
 use std::io;
 
 use bitstream_io::{BigEndian, BitRead, BitReader, BitWrite, BitWriter};
 use xxhash_rust::xxh3::Xxh3Default;
 
-/// Experts by layer set and rank, as in a report of an engine.
+/// Experts by layer set and rank, as in the report of an engine.
 pub type Map = Vec<Vec<Vec<u16>>>;
 
-/// Bits of the field that tells how many bits an expert takes.
+/// Size in bits of the field that gives the size of an expert number.
 const WIDTH_BITS: u32 = 5;
-/// Most bits of an expert's number.
+/// Maximum size of an expert number in bits.
 const MAX_WIDTH: u32 = u16::BITS;
-/// Longest prefix of an Exp-Golomb code: counts and distances are below 2^16.
+/// Maximum prefix length of an Exp-Golomb code: counts and distances are below 2^16.
 const MAX_PREFIX: u32 = u16::BITS;
 
-/// Why a difference was not applied.
+/// Reason for which a difference was not applied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// It ends early, or has more than its end.
-    #[error("difference is cut off or too long")]
+    /// The encoding is truncated or has trailing bytes.
+    #[error("difference is truncated or has trailing bytes")]
     Length,
-    /// It names a rank, a place or an expert that cannot be.
-    #[error("difference does not fit the map that it is applied to")]
+    /// A rank, an index or an expert is out of range.
+    #[error("difference does not match the shape of its base map")]
     Shape,
-    /// The result is not the map that was meant.
-    #[error("digest of the result is not the expected one")]
+    /// The digest of the result differs from the expected one.
+    #[error("digest of the result does not match the expected digest")]
     Digest,
 }
 
-/// The map that a group opens with: experts dealt out in turn.
+/// Returns the initial map of a group: experts are assigned to ranks round-robin.
 pub fn round_robin(sets: usize, experts: usize, ranks: usize) -> Map {
     let list = |rank: usize| (rank..experts).step_by(ranks.max(1)).map(|expert| expert as u16);
     let set: Vec<Vec<u16>> = (0..ranks).map(|rank| list(rank).collect()).collect();
     vec![set; sets]
 }
 
-/// Digest of a map, whatever the order within its lists.
+/// Returns the digest of a map, which does not depend on the order within its lists.
 pub fn digest(map: &Map) -> u64 {
     let mut hasher = Xxh3Default::new();
     let mut number = |number: u32| hasher.update(&number.to_le_bytes());
@@ -64,7 +63,7 @@
     hasher.digest()
 }
 
-/// The same map with its lists in ascending order, as [`apply`] makes it.
+/// Returns the map with its lists in ascending order, which is the form that [`apply`] returns.
 pub fn canonical(map: &Map) -> Map {
     map.iter().map(|ranks| ranks.iter().map(|list| sorted(list)).collect()).collect()
 }
@@ -75,8 +74,8 @@
     list
 }
 
-/// The difference that makes `map` of `base`; `None` where they differ in their
-/// numbers of sets or ranks.
+/// Encodes the difference from `base` to `map`. Returns `None` if their numbers of sets or ranks
+/// differ.
 pub fn encode(base: &Map, map: &Map) -> Option<Vec<u8>> {
     let same_ranks = base.iter().zip(map).all(|(base, map)| base.len() == map.len());
     if base.len() != map.len() || !same_ranks {
@@ -85,17 +84,17 @@
     let largest = map.iter().flatten().flatten().copied().max().unwrap_or(0);
     let mut writer =
         Writer { bits: BitWriter::new(Vec::new()), width: width(usize::from(largest)) };
-    // Writing to memory does not fail.
+    // Writing to memory cannot fail.
     writer.map(base, map).ok()?;
     writer.bits.byte_align().ok()?;
     Some(writer.bits.into_writer())
 }
 
-/// Applies a difference to `base`; `expected` is the digest of the result.
+/// Applies a difference to `base`; `expected` is the digest of the resulting map.
 ///
 /// # Errors
 ///
-/// An [`Error`] for a difference that is malformed or meant for another map.
+/// An [`Error`] if the difference is malformed or belongs to another base map.
 pub fn apply(base: &Map, bytes: &[u8], expected: u64) -> Result<Map, Error> {
     let mut reader = Reader { bits: BitReader::new(io::Cursor::new(bytes)), width: 0 };
     let map = reader.map(base)?;
@@ -106,29 +105,29 @@
     Ok(map)
 }
 
-/// Bits that numbers up to `largest` take.
+/// Returns the number of bits that represent numbers up to `largest`.
 fn width(largest: usize) -> u32 {
     usize::BITS - largest.leading_zeros()
 }
 
-/// What changes at one rank.
+/// Change of the experts of one rank.
 struct Change {
-    /// Places, in the list of before, of the experts that leave.
-    leaving: Vec<usize>,
-    coming: Vec<u16>,
+    /// Indices of the removed experts in the previous list.
+    removed: Vec<usize>,
+    added: Vec<u16>,
 }
 
 fn change(before: &[u16], after: &[u16]) -> Option<Change> {
-    let leaves = |(_, expert): &(usize, &u16)| !after.contains(expert);
-    let leaving = before.iter().enumerate().filter(leaves).map(|(place, _)| place).collect();
-    let coming = after.iter().copied().filter(|expert| !before.contains(expert)).collect();
-    let change = Change { leaving, coming };
-    (!change.leaving.is_empty() || !change.coming.is_empty()).then_some(change)
+    let is_removed = |(_, expert): &(usize, &u16)| !after.contains(expert);
+    let removed = before.iter().enumerate().filter(is_removed).map(|(index, _)| index).collect();
+    let added = after.iter().copied().filter(|expert| !before.contains(expert)).collect();
+    let change = Change { removed, added };
+    (!change.removed.is_empty() || !change.added.is_empty()).then_some(change)
 }
 
 struct Writer {
     bits: BitWriter<Vec<u8>, BigEndian>,
-    /// Bits of an expert's number.
+    /// Size of an expert number in bits.
     width: u32,
 }
 
@@ -138,8 +137,8 @@
         base.iter().zip(map).try_for_each(|(base, map)| self.set(base, map))
     }
 
-    /// The changed ranks, each by its distance from the one before, and the
-    /// distance to the end.
+    /// Writes the changed ranks of a set, each with its distance from the previous one, and then
+    /// the distance to the end.
     fn set(&mut self, base: &[Vec<u16>], map: &[Vec<u16>]) -> io::Result<()> {
         let mut next = 0;
         for (rank, (before, after)) in base.iter().zip(map).enumerate() {
@@ -153,18 +152,18 @@
     }
 
     fn change(&mut self, held: usize, change: &Change) -> io::Result<()> {
-        self.number(change.leaving.len())?;
-        for place in &change.leaving {
-            self.bits.write_var(width(held), *place as u32)?;
+        self.number(change.removed.len())?;
+        for index in &change.removed {
+            self.bits.write_var(width(held), *index as u32)?;
         }
-        self.number(change.coming.len())?;
-        for expert in &change.coming {
+        self.number(change.added.len())?;
+        for expert in &change.added {
             self.bits.write_var(self.width, u32::from(*expert))?;
         }
         Ok(())
     }
 
-    /// An Exp-Golomb code.
+    /// Writes a number as an Exp-Golomb code.
     fn number(&mut self, number: usize) -> io::Result<()> {
         let number = number as u32 + 1;
         let prefix = number.ilog2();
@@ -207,20 +206,20 @@
         if count > held {
             return Err(Error::Shape);
         }
-        let places: Vec<usize> = (0..count)
-            .map(|_| self.bits(width(held)).map(|place| place as usize))
+        let indices: Vec<usize> = (0..count)
+            .map(|_| self.bits(width(held)).map(|index| index as usize))
             .collect::<Result<_, _>>()?;
-        // Places ascend, so each is taken out without moving those before it.
-        if places.windows(2).any(|pair| pair[0] >= pair[1]) {
+        // Indices ascend, so that removal from the last to the first leaves the others valid.
+        if indices.windows(2).any(|pair| pair[0] >= pair[1]) {
             return Err(Error::Shape);
         }
-        for place in places.into_iter().rev() {
-            if place >= list.len() {
+        for index in indices.into_iter().rev() {
+            if index >= list.len() {
                 return Err(Error::Shape);
             }
-            list.remove(place);
+            list.remove(index);
         }
-        // Each expert takes bits of the message, which bounds the list.
+        // Each expert consumes bits of the message, which bounds the length of the list.
         for _ in 0..self.number()? {
             let expert = u16::try_from(self.bits(self.width)?).map_err(|_| Error::Shape)?;
             list.push(expert);
@@ -234,15 +233,15 @@
         if prefix > MAX_PREFIX {
             return Err(Error::Shape);
         }
-        let rest = self.bits(prefix)?;
-        Ok(((1 << prefix) + rest - 1) as usize)
+        let suffix = self.bits(prefix)?;
+        Ok(((1 << prefix) + suffix - 1) as usize)
     }
 
     fn bits(&mut self, count: u32) -> Result<u32, Error> {
         self.bits.read_var(count).map_err(|_| Error::Length)
     }
 
-    /// Checks that the message ends here, but for the bits that fill its last byte.
+    /// Checks that the message ends here, except for the padding of its last byte.
     fn end(mut self, length: usize) -> Result<(), Error> {
         self.bits.byte_align();
         let read = self.bits.into_reader().position();
--- a/decision/src/map/gate.rs
+++ b/decision/src/map/gate.rs
@@ -1,9 +1,10 @@
-//! The agent's gate for orders about the expert map.
+//! Checks in the agent for orders that concern the expert map.
 //!
-//! Fences only rise. An agent that has just started knows none and takes no
-//! order until it has learnt the group's: from the platform, or, while that is
-//! not to be reached, from another rank's agent. That is enough, because a map
-//! comes in force only after every rank's agent has seen its fence.
+//! A fence is the revision of the record that an order was made under; it never decreases. An
+//! agent that has just started knows no fence and rejects all orders until it has learnt that of
+//! the group, either from the platform or, while the platform is unreachable, from the agent of
+//! another rank. Another agent suffices as source because a map becomes active only after the
+//! agent of every rank has received its fence.
 
 use std::fmt;
 
@@ -19,46 +20,46 @@
     }
 }
 
-/// An order about the map, as far as the gate is concerned.
+/// The parts of a map order that the gate checks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Order {
-    /// What is to be done.
+    /// Requested action.
     pub action: Action,
     /// Epoch of the map.
     pub epoch: record::Epoch,
-    /// Its fence.
+    /// Fence of the order.
     pub fence: Fence,
     /// Digest of the layout.
     pub digest: u64,
 }
 
-/// What an order wants done.
+/// Action that an order requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Action {
-    /// Load the map's experts beside those in use.
+    /// Load the experts of the map in addition to those in use.
     Prepare,
-    /// Launch steps on the map from now on.
+    /// Launch all further steps with the map.
     Activate,
 }
 
-/// Why an order was refused.
+/// Reason for which an order was rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum Refusal {
-    /// A higher fence was seen.
-    #[error("stale: fence {0} was seen")]
+    /// The agent has received a higher fence.
+    #[error("order is stale: fence {0} was already received")]
     Stale(Fence),
-    /// The epoch was prepared with another layout.
-    #[error("epoch {0} stands for another layout")]
+    /// The epoch was prepared with a different layout.
+    #[error("epoch {0} was prepared with a different layout")]
     Digest(record::Epoch),
-    /// The epoch was not prepared here.
+    /// The epoch was not prepared on this rank.
     #[error("epoch {0} is not prepared")]
     Unprepared(record::Epoch),
-    /// The agent has not learnt the group's fence yet.
-    #[error("the fence is not known yet")]
+    /// The agent has not learnt the fence of the group yet.
+    #[error("fence of the group is not known yet")]
     Unready,
 }
 
-/// The gate. Invariant: `fence` never falls.
+/// Filter for map orders. Invariant: `fence` never decreases.
 #[derive(Debug, Clone, Default)]
 pub struct Gate {
     fence: Option<Fence>,
@@ -66,27 +67,27 @@
 }
 
 impl Gate {
-    /// Whether the fence is known.
+    /// Returns whether the fence is known.
     pub fn ready(&self) -> bool {
         self.fence.is_some()
     }
 
-    /// Highest fence seen.
+    /// Returns the highest fence received, or zero while none is known.
     pub fn fence(&self) -> Fence {
         self.fence.unwrap_or_default()
     }
 
-    /// Learns the group's fence, from the platform or another agent.
+    /// Raises the fence to one that the platform or another agent reported.
     pub fn learn(&mut self, fence: Fence) {
         self.fence = Some(self.fence().max(fence));
     }
 
-    /// Weighs an order. One that is let through must be carried out before
-    /// the next is weighed.
+    /// Checks an order and records its fence. The caller must carry out an accepted order before
+    /// it checks the next one.
     ///
     /// # Errors
     ///
-    /// A [`Refusal`]; nothing may then be sent to the backend server.
+    /// A [`Refusal`]; the order must then not be sent to the backend server.
     pub fn check(&mut self, order: &Order) -> Result<(), Refusal> {
         let Some(fence) = self.fence else { return Err(Refusal::Unready) };
         if order.fence < fence {
@@ -103,7 +104,7 @@
         Ok(())
     }
 
-    /// The backend server has prepared the map.
+    /// Records that the backend server has prepared the map of an order.
     pub fn record_prepared(&mut self, order: &Order) {
         self.prepared = Some((order.epoch, order.digest));
     }
--- a/decision/src/map/switch.rs
+++ b/decision/src/map/switch.rs
@@ -1,94 +1,92 @@
-//! Takes a group from one map to the next at one pass, on all ranks.
+//! State machine that switches all ranks of a group from one map to the next at the same pass.
 //!
-//! Every rank prepares the map; then one rank, the holder, is told to keep the
-//! group from beginning a pass; then every rank is armed to switch as that
-//! pass begins; then the holder lets it begin. From the first arming on there
-//! is one way only: the pass begins once all ranks are confirmed armed, or
-//! once all that may be armed are confirmed disarmed. An order without an
-//! answer is given again until its effect is known. When the group breaks, its
-//! engines forget all of it, and so does this machine.
+//! First every rank prepares the map. Then one rank, the holder, is ordered to keep the group from
+//! beginning a certain pass. Then every rank is armed to switch when that pass begins, and finally
+//! the holder releases the pass. Once the first rank may be armed, the pass is released only after
+//! all ranks are confirmed armed, or after all ranks that may be armed are confirmed disarmed. An
+//! order without an answer is repeated until its effect is known. When the group breaks, its
+//! engines lose this state, and the machine is discarded too.
 //!
-//! A host that freezes takes its engine out of everybody's reach. So the
-//! holder is not the driver's own rank, and the driver arms its own rank last:
-//! as long as another rank is not armed, its own is not either, and another
-//! driver may undo the change without having asked that rank.
+//! While a host is frozen, its engine is unreachable for all drivers. So the holder is not the
+//! driver's own rank, and the driver arms its own rank last: while any other rank is not armed,
+//! its own is not armed either, and another driver can undo the change without querying that rank.
 //!
-//! Whoever takes over from a driver that died finds out with [`Switch::resume`],
-//! or with [`Switch::resume_without`], what is left to do.
+//! A driver that takes over from a crashed one determines the remaining orders with
+//! [`Switch::resume`] or [`Switch::resume_without`].
 
 use std::collections::BTreeSet;
 
 use crate::map::version;
 
-/// State of a rank's engine, as its sidecar reports it.
+/// State of the engine of a rank, as its sidecar reports it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Condition {
     /// Version of the map in use.
     pub map: u64,
-    /// Version of the map that is prepared.
+    /// Version of the prepared map.
     pub prepared: Option<u64>,
     /// Version and pass of the armed switch.
     pub armed: Option<(u64, u64)>,
-    /// Pass that the rank keeps the group from beginning.
+    /// Pass that the rank prevents the group from beginning.
     pub held: Option<u64>,
 }
 
 /// An order to one rank.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Order {
-    /// Prepare the map.
+    /// Prepare a map.
     Prepare {
-        /// Its version.
+        /// Version of the map.
         version: u64,
     },
-    /// Keep the group from beginning a pass.
+    /// Prevent the group from beginning a pass.
     Hold {
-        /// The pass.
+        /// Number of the pass.
         pass: u64,
     },
-    /// Switch to the map as a pass begins.
+    /// Switch to the map when a pass begins.
     Arm {
         /// Version of the map.
         version: u64,
-        /// The pass.
+        /// Number of the pass.
         pass: u64,
     },
-    /// Take an armed switch back.
+    /// Cancel an armed switch.
     Disarm {
         /// Version of the map.
         version: u64,
     },
-    /// Let the group begin the pass.
+    /// Allow the group to begin a held pass.
     Release {
-        /// The pass.
+        /// Number of the pass.
         pass: u64,
     },
 }
 
-/// What came of an order.
+/// Effect of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Effect {
-    /// The engine's state shows it.
+    /// The state of the engine shows the effect.
     Confirmed,
-    /// The engine refused it for good.
+    /// The engine rejected the order; it cannot take effect later.
     Refused,
-    /// Not known; it may still have effect.
+    /// Not known; the order may still take effect.
     Unknown,
 }
 
-/// How a change ended.
+/// Result of a change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Outcome {
-    /// All ranks switch at the pass.
+    /// All ranks switch at the chosen pass.
     Switched,
-    /// No rank switches.
+    /// The change was aborted; no rank switches.
     Abandoned,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Phase {
     Preparing,
-    /// Waits for [`Switch::hold`].
+    /// All ranks are prepared; waits for [`Switch::hold`].
     Prepared,
     Holding,
     Arming,
@@ -97,25 +95,25 @@
     Done(Outcome),
 }
 
-/// The machine. Ranks are numbered from 0.
+/// State machine of one change. Ranks are numbered from 0.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Switch {
     version: u64,
     pass: u64,
     ranks: usize,
-    /// Ranks that keep the group from beginning the pass.
+    /// Ranks that prevent the group from beginning the pass.
     holders: BTreeSet<usize>,
-    /// Rank that is armed after all others: that of the driver that made the
-    /// version, whoever arms it.
-    last: usize,
+    /// Rank that is armed after all others. It is the rank of the driver that made the version,
+    /// even if another driver has taken over.
+    armed_last: usize,
     phase: Phase,
-    /// Ranks whose effect in this phase is not confirmed.
+    /// Ranks that have not confirmed the order of the current phase.
     pending: BTreeSet<usize>,
 }
 
 impl Switch {
-    /// Takes so many ranks to a map, whose version tells the rank of the
-    /// driver's own engine. The rank after it will hold the group.
+    /// Creates the change of a group of `ranks` to the map with this version. The version encodes
+    /// the driver's own rank; the rank after it becomes the holder.
     pub fn new(ranks: usize, version: u64) -> Switch {
         let driver = version::driver(version, ranks);
         Switch {
@@ -123,18 +121,17 @@
             pass: 0,
             ranks,
             holders: BTreeSet::from([(driver + 1) % ranks.max(1)]),
-            last: driver,
+            armed_last: driver,
             phase: Phase::Preparing,
             pending: (0..ranks).collect(),
         }
     }
 
-    /// What a driver that died has left to do, from the state of all ranks;
-    /// `None` where nothing is held. The change is gone through with where
-    /// every rank is armed or has the map prepared: an order to arm may be on
-    /// its way still, and could not be taken back. It is undone otherwise.
-    /// Ranks that are armed while none is held were let go on and switch at
-    /// their pass, whatever a driver does: it must leave them alone.
+    /// Reconstructs the change of a crashed driver from the state of all ranks, or returns `None`
+    /// if no rank holds a pass. If every rank is armed or has the map prepared, the change is
+    /// completed, because an order to arm may still be in transit and could not be cancelled.
+    /// Otherwise it is undone. Ranks that are armed while none holds a pass have been released
+    /// and switch at their pass regardless; the driver must not send orders to them.
     pub fn resume(ranks: &[Condition]) -> Option<Switch> {
         let held = ranks.iter().find_map(|rank| rank.held)?;
         let armed = ranks.iter().find_map(|rank| rank.armed);
@@ -142,68 +139,69 @@
         let version = armed.map(|(version, _)| version).or(prepared).unwrap_or(0);
         let is_armed = |rank: &Condition| rank.armed == Some((version, held));
         let ready = |rank: &Condition| is_armed(rank) || rank.prepared == Some(version);
-        let other = armed.is_some_and(|(_, pass)| pass != held);
+        let pass_differs = armed.is_some_and(|(_, pass)| pass != held);
         let holders = (0..ranks.len()).filter(|rank| ranks[*rank].held.is_some()).collect();
         let mut switch = Switch {
             version,
             pass: held,
             ranks: ranks.len(),
             holders,
-            last: version::driver(version, ranks.len()),
+            armed_last: version::driver(version, ranks.len()),
             phase: Phase::Arming,
             pending: (0..ranks.len()).filter(|rank| !is_armed(&ranks[*rank])).collect(),
         };
         match () {
-            () if version != 0 && !other && ranks.iter().all(ready) => switch.advance(),
-            // What is held is no pass that a rank is armed for.
-            () if armed.is_none() || other => switch.release(Outcome::Abandoned),
+            () if version != 0 && !pass_differs && ranks.iter().all(ready) => switch.advance(),
+            // No rank is armed for the held pass.
+            () if armed.is_none() || pass_differs => switch.release(Outcome::Abandoned),
             () => switch.undo(),
         }
         Some(switch)
     }
 
-    /// What is left to do where one rank cannot be asked, which is `None` among
-    /// the ranks. If it is that of the driver that began the change, it was to
-    /// be armed after all others, so that it is not armed while one of them is
-    /// not: the change is undone. `None` where that rank may be armed, or where
-    /// the group does not wait for the pass after `pass`, the last one that has
-    /// begun: an order to arm that is carried out late must find its pass begun.
+    /// Reconstructs a change while one rank, given as `None`, cannot be queried. If that is the
+    /// rank of the driver that began the change, it is armed after all others, so that it cannot
+    /// be armed while one of them is not. The change is then undone. Returns `None` if that rank
+    /// may be armed. Also returns `None` if the group does not wait to begin the pass after
+    /// `pass`, the last one that has begun: a late order to arm is rejected only if its pass has
+    /// begun by then.
     pub fn resume_without(ranks: &[Option<Condition>], pass: u64) -> Option<Switch> {
         let known = || ranks.iter().flatten();
         let held = known().find_map(|rank| rank.held).filter(|held| *held == pass + 1)?;
         let version = known().find_map(|rank| rank.prepared)?;
-        let last = version::driver(version, ranks.len());
-        let others_known = (0..ranks.len()).all(|rank| ranks[rank].is_some() == (rank != last));
+        let armed_last = version::driver(version, ranks.len());
+        let others_known =
+            (0..ranks.len()).all(|rank| ranks[rank].is_some() == (rank != armed_last));
         if !others_known || known().all(|rank| rank.armed.is_some()) {
             return None;
         }
-        let having = |state: fn(&Condition) -> bool| -> BTreeSet<usize> {
+        let ranks_where = |state: fn(&Condition) -> bool| -> BTreeSet<usize> {
             (0..ranks.len()).filter(|rank| ranks[*rank].as_ref().is_some_and(state)).collect()
         };
         let mut switch = Switch {
             version,
             pass: held,
             ranks: ranks.len(),
-            holders: having(|rank| rank.held.is_some()),
-            last,
+            holders: ranks_where(|rank| rank.held.is_some()),
+            armed_last,
             phase: Phase::Disarming,
-            pending: having(|rank| rank.armed.is_some()),
+            pending: ranks_where(|rank| rank.armed.is_some()),
         };
         switch.advance();
         Some(switch)
     }
 
-    /// Version of the map.
+    /// Returns the version of the map.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Pass at which the ranks switch; zero before it is chosen.
+    /// Returns the pass at which the ranks switch, or zero before it is chosen.
     pub fn pass(&self) -> u64 {
         self.pass
     }
 
-    /// How it ended, if it has.
+    /// Returns the result of the change, or `None` while it is in progress.
     pub fn outcome(&self) -> Option<Outcome> {
         match self.phase {
             Phase::Done(outcome) => Some(outcome),
@@ -211,13 +209,13 @@
         }
     }
 
-    /// Whether every rank is prepared and the pass may be chosen.
+    /// Returns whether every rank is prepared and the pass can be chosen.
     pub fn prepared(&self) -> bool {
         self.phase == Phase::Prepared
     }
 
-    /// Whether giving up now could leave ranks on different maps or a group
-    /// that stands still.
+    /// Returns whether dropping the change now could leave ranks on different maps or the group
+    /// blocked at a held pass.
     pub fn committed(&self) -> bool {
         matches!(
             self.phase,
@@ -225,22 +223,22 @@
         )
     }
 
-    /// Chooses the pass at which the ranks switch.
+    /// Chooses the pass at which the ranks switch and begins to hold it.
     pub fn hold(&mut self, pass: u64) {
-        debug_assert!(self.prepared(), "the pass is chosen once all ranks are prepared");
+        debug_assert!(self.prepared(), "pass chosen before all ranks are prepared");
         self.pass = pass;
         self.phase = Phase::Holding;
         self.pending = self.holders.clone();
     }
 
-    /// Orders that are to be given now, again where their effect is not known.
+    /// Returns the orders to send now, including repeats of those whose effect is not known.
     pub fn orders(&self) -> Vec<(usize, Order)> {
         let Some(order) = self.order() else { return Vec::new() };
         let ready = self.pending.iter().filter(|rank| !self.waits_for_others(**rank));
         ready.map(|rank| (*rank, order)).collect()
     }
 
-    /// The order of the present phase, which is the same for all ranks.
+    /// Returns the order of the current phase, which is the same for all ranks.
     fn order(&self) -> Option<Order> {
         let (version, pass) = (self.version, self.pass);
         match self.phase {
@@ -253,16 +251,16 @@
         }
     }
 
-    /// Whether a rank may be armed only after others that are not yet.
+    /// Returns whether a rank may be armed only after others that are not armed yet.
     fn waits_for_others(&self, rank: usize) -> bool {
-        self.phase == Phase::Arming && self.last == rank && self.pending.len() > 1
+        self.phase == Phase::Arming && self.armed_last == rank && self.pending.len() > 1
     }
 
-    /// Takes the effect of an order that [`Switch::orders`] gave; one of an
-    /// earlier phase is ignored.
+    /// Applies the effect of an order that [`Switch::orders`] returned. Effects of orders of an
+    /// earlier phase are ignored.
     pub fn effect(&mut self, rank: usize, order: Order, effect: Effect) {
-        let given = self.order() == Some(order) && self.pending.contains(&rank);
-        if !given || self.waits_for_others(rank) {
+        let outstanding = self.order() == Some(order) && self.pending.contains(&rank);
+        if !outstanding || self.waits_for_others(rank) {
             return;
         }
         match (effect, order) {
@@ -272,15 +270,15 @@
                 self.pending.clear();
                 return;
             }
-            // The pass has begun already: nothing is held.
+            // The pass has already begun, so that nothing is held.
             (Effect::Refused, Order::Hold { .. }) => {
                 self.phase = Phase::Prepared;
                 self.pending.clear();
                 return;
             }
             (Effect::Refused, Order::Arm { .. }) => return self.undo(),
-            // An engine refuses to take back what is not armed, and to release
-            // what is not held.
+            // An engine rejects an order to disarm when it is not armed, and an order to release
+            // when it holds nothing.
             (Effect::Refused, Order::Disarm { .. } | Order::Release { .. })
             | (Effect::Confirmed, _) => {
                 self.pending.remove(&rank);
@@ -300,7 +298,7 @@
         self.advance();
     }
 
-    /// Goes on to the next phase if nothing is pending.
+    /// Enters the next phase if no rank is pending.
     fn advance(&mut self) {
         if !self.pending.is_empty() {
             return;
