--- a/decision/src/placement.rs
+++ b/decision/src/placement.rs
@@ -1,13 +1,12 @@
-//! Where the experts of a group are, and when it pays to move them.
+//! Placement of the experts of a group on its ranks, and the decision when to change it.
 //!
-//! All ranks of a group advance in lock-step, so each layer takes as long as
-//! its most loaded rank. [`load`] says how many tokens each expert gets,
-//! [`layout`] which ranks hold it, [`cost`] what a step then takes. [`pack`]
-//! makes a layout from nothing, [`improve`] betters one by single moves, and
-//! [`policy`] decides when to do which. `docs/design/placement.md` compares
-//! the policies by measurement. [`spread`] is the search for groups whose ranks
-//! take in a few experts of each set at a time, and [`stage`] says how much of
-//! what it finds is done at once.
+//! All ranks of a group advance in lock-step, so each layer takes as long as its most loaded rank.
+//! [`load`] counts the tokens of each expert, [`layout`] assigns experts to ranks, and [`cost`]
+//! computes the duration of a step under a layout. [`pack`] builds a layout from scratch,
+//! [`improve`] refines one by short chains of moves, and [`policy`] decides which of them to use
+//! and when. `docs/design/placement.md` compares the policies by measurement. [`spread`] searches
+//! placements for groups whose ranks can load a few experts of each set at a time, and [`stage`]
+//! limits how much of the result is applied in one change.
 
 pub mod cost;
 pub mod improve;
--- a/decision/src/placement/cost.rs
+++ b/decision/src/placement/cost.rs
@@ -1,30 +1,29 @@
-//! What a step takes under a layout.
+//! Duration of a step under a layout.
 
 use crate::entity;
 use crate::placement::{layout, load};
 
-/// How the ranks of a group are, beside their load.
+/// Health of the ranks of a group, independent of their load.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Health {
-    /// By rank: time that it needs for a token, relative to a sound one;
-    /// infinite for a rank that is lost.
+    /// Time per token of each rank, relative to a healthy rank; infinite for a lost rank.
     pub slowness: Vec<f64>,
 }
 
 impl Health {
-    /// All ranks sound.
+    /// Returns the health of a group whose ranks are all healthy.
     pub fn healthy(ranks: u32) -> Health {
         Health { slowness: vec![1.0; ranks as usize] }
     }
 
-    /// Whether the rank is lost.
+    /// Returns whether a rank is lost.
     pub fn lost(&self, rank: u32) -> bool {
         self.slowness[rank as usize].is_infinite()
     }
 }
 
-/// Time that each rank needs for a layer. An expert's tokens are shared evenly
-/// by the ranks that hold it.
+/// Returns the time that each rank needs for a layer. The tokens of an expert are divided evenly
+/// among the ranks that hold it.
 pub fn rank_times(
     layout: &layout::Layout,
     load: &load::Load,
@@ -35,7 +34,7 @@
     let experts = &layout.layers[layer.as_u32() as usize];
     for (copies, tokens) in experts.iter().zip(load.layer(layer)) {
         let share = tokens / copies.len() as f64;
-        // An expert without tokens costs nothing, not even on a lost rank.
+        // An expert without tokens costs nothing, even on a lost rank (0 * infinity is NaN).
         if share <= 0.0 {
             continue;
         }
@@ -46,20 +45,20 @@
     times
 }
 
-/// Time of a whole step, which waits for the slowest rank at each layer.
+/// Returns the time of a whole step, which waits for the slowest rank at each layer.
 pub fn step_time(layout: &layout::Layout, load: &load::Load, health: &Health) -> f64 {
     let slowest = |layer| rank_times(layout, load, health, layer).into_iter().fold(0.0, f64::max);
     layout.shape.layer_ids().map(slowest).sum()
 }
 
-/// Time of a step if every layer were balanced perfectly over the sound ranks:
+/// Returns the time of a step with every layer balanced perfectly over the healthy ranks, which is
 /// the lower bound of [`step_time`].
 pub fn ideal_time(load: &load::Load, health: &Health) -> f64 {
     let speed: f64 = health.slowness.iter().map(|slowness| 1.0 / slowness).sum();
     load.total() / speed
 }
 
-/// Skew of a step: its time relative to the ideal; 1 is perfect.
+/// Returns the skew of a step: its time relative to the ideal time. 1 is perfect.
 pub fn skew(layout: &layout::Layout, load: &load::Load, health: &Health) -> f64 {
     let ideal = ideal_time(load, health);
     if ideal > 0.0 { step_time(layout, load, health) / ideal } else { 1.0 }
--- a/decision/src/placement/improve.rs
+++ b/decision/src/placement/improve.rs
@@ -1,66 +1,64 @@
-//! Betters a layout by short chains of moves, where a chain pays.
+//! Local search that improves a layout by short chains of moves.
 //!
-//! A layer takes as long as its slowest rank, so one move often gains nothing:
-//! the next slowest rank is almost as slow. A chain of moves is therefore
-//! followed, each taking load off whichever rank is then the slowest, and cut
-//! where what it has saved, less the price of its loads, is greatest. A move
-//! copies or moves an expert to another rank, trades it for a lighter one, or
-//! gives it the slot of a copy that is hardly used. What a chain saves is
-//! weighed under two views of the load, a fast and a slow average, of which
-//! the smaller counts: noise shows in the fast one only, and what is past in
-//! the slow one only.
+//! A layer takes as long as its slowest rank, so a single move often gains nothing because the
+//! next slowest rank is almost as slow. The search therefore builds a chain of moves, each of
+//! which takes load off the rank that is the slowest at that point, and truncates the chain where
+//! the saved time less the cost of its expert loads is greatest. A move copies or moves an expert
+//! to another rank, swaps it with a lighter one, or replaces a copy with little load by it. The
+//! gain of a chain is evaluated with a fast and a slow moving average of the load, and the smaller
+//! result counts: noise appears only in the fast average, outdated load only in the slow one.
 
 use crate::entity;
 use crate::placement::{cost, layout, load};
 
-/// Moves of one chain at the most.
+/// Maximum number of moves of a chain.
 const CHAIN: usize = 48;
-/// Least loaded ranks that are tried as the receiver of an expert.
+/// Number of least loaded ranks that are considered as receivers of an expert.
 const RECEIVERS: usize = 12;
 
-/// What a move does, in one layer.
+/// Kind of a move within a layer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
-    /// The expert gets one more copy on `to`.
+    /// The expert gets an additional copy on `to`.
     Copy,
-    /// The expert goes from `from` to `to`.
+    /// The expert moves from `from` to `to`.
     Move,
-    /// The expert changes places with another, which goes to `from`.
+    /// The expert is swapped with another one, which moves to `from`.
     Trade(usize),
-    /// The expert gets the slot of a copy of another, which stays elsewhere.
+    /// The expert takes the slot of a copy of another expert that has further copies.
     Replace(usize),
 }
 
-/// A move of one expert, by its number in the layer.
+/// Move of one expert.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Step {
-    /// The expert that leaves the slowest rank, or is copied from it.
+    /// Number, within the layer, of the expert that is moved or copied from the slowest rank.
     pub expert: usize,
-    /// The slowest rank of the layer.
+    /// Slowest rank of the layer.
     pub from: u32,
-    /// The rank that takes it.
+    /// Rank that receives the expert.
     pub to: u32,
-    /// What is done.
+    /// Kind of the move.
     pub kind: Kind,
 }
 
 impl Step {
-    /// Expert loads that it takes.
+    /// Returns the number of expert loads of the move.
     pub fn loads(&self) -> u32 {
         if matches!(self.kind, Kind::Trade(_)) { 2 } else { 1 }
     }
 }
 
-/// Moves of one layer that pay together.
+/// Moves of one layer whose combined gain exceeds their cost.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Chain {
-    /// The layer.
+    /// Layer of the moves.
     pub layer: entity::Layer,
-    /// The moves, in their order.
+    /// Moves in the order of application.
     pub steps: Vec<Step>,
-    /// Time saved of each step of the group, in the unit of the load.
+    /// Time saved per step of the group, in the unit of the load.
     pub gain: f64,
-    /// Expert loads that it takes.
+    /// Number of expert loads of the chain.
     pub loads: u32,
 }
 
@@ -70,30 +68,30 @@
     }
 }
 
-/// What moves must bring, and how many there may be.
+/// Limits on the moves and their minimum gain.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Bounds {
-    /// Expert loads at the most.
+    /// Maximum number of expert loads.
     pub loads: u32,
-    /// Price of an expert load: time that it must save of each step of the
-    /// group, in the unit of the load.
+    /// Cost of an expert load: minimum time that it must save per step of the group, in the unit of
+    /// the load.
     pub min_gain_per_load: f64,
-    /// Copies of one expert at the most.
+    /// Maximum number of copies of an expert.
     pub replicas: u32,
 }
 
-/// The two views of the load.
+/// Moving averages of the load and health of the ranks.
 #[derive(Debug, Clone, Copy)]
 pub struct View<'a> {
-    /// Average over the last few reports.
+    /// Moving average over the last few reports.
     pub fast: &'a load::Load,
-    /// Average over many.
+    /// Moving average over many reports.
     pub slow: &'a load::Load,
-    /// How the ranks are.
+    /// Health of the ranks.
     pub health: &'a cost::Health,
 }
 
-/// Applies the chains that pay, best first. Returns them in their order.
+/// Applies the chains that gain enough, best first, and returns them in this order.
 pub fn improve(layout: &mut layout::Layout, view: View<'_>, bounds: Bounds) -> Vec<Chain> {
     let mut chains: Vec<Chain> = layout
         .shape
@@ -107,7 +105,7 @@
     let mut done = Vec::new();
     for mut chain in chains {
         if chain.loads > left {
-            // The best part that still fits.
+            // Search again for the best chain within the remaining loads.
             let part = Search::new(layout, view, bounds, chain.layer).chain(left);
             let Some(part) = part else { continue };
             chain = part;
@@ -140,7 +138,7 @@
     }
 }
 
-/// One layer, as a chain changes it.
+/// Search state of one layer, updated as the chain grows.
 struct Search<'a> {
     layer: entity::Layer,
     slots: usize,
@@ -149,9 +147,9 @@
     fast: &'a [f64],
     slow: &'a [f64],
     experts: Vec<layout::Copies>,
-    /// Time of each rank under the fast view.
+    /// Time of each rank under the fast average.
     times: Vec<f64>,
-    /// Experts of each rank.
+    /// Experts that each rank holds.
     held: Vec<Vec<usize>>,
 }
 
@@ -200,7 +198,7 @@
         self.times_under(tokens).into_iter().fold(0.0, f64::max)
     }
 
-    /// The chain of moves that pays most within so many loads, if one pays.
+    /// Returns the chain with the greatest net gain within `most` loads, if one has a net gain.
     fn chain(mut self, most: u32) -> Option<Chain> {
         let before = (self.slowest(self.fast), self.slowest(self.slow));
         let mut steps: Vec<Step> = Vec::new();
@@ -225,8 +223,8 @@
         best.map(|(_, chain)| chain)
     }
 
-    /// The move that takes most off the slowest rank for its loads, without
-    /// making another as slow.
+    /// Returns the move that relieves the slowest rank most per load without making another rank
+    /// as slow.
     fn best_step(&self) -> Option<Step> {
         let ranks = 0..self.times.len() as u32;
         let time = |rank: &u32| self.times[*rank as usize];
@@ -250,7 +248,7 @@
         best.map(|(_, step)| step)
     }
 
-    /// Moves of an expert to a rank that the slots and the bounds allow.
+    /// Returns the kinds of moves of an expert to a rank that the slots and bounds allow.
     fn kinds(&self, expert: usize, from: u32, to: u32) -> Vec<Kind> {
         let may_copy = self.experts[expert].len() < self.bounds.replicas as usize;
         let held = &self.held[to as usize];
@@ -270,8 +268,8 @@
         kinds
     }
 
-    /// How much faster the slowest rank gets, measured to whichever of the
-    /// ranks that the move changes is the slowest afterwards.
+    /// Returns how much a move reduces the time of the slowest rank. The new time is that of the
+    /// slowest rank among those that the move changes.
     fn relief(&self, step: &Step) -> f64 {
         let mut changes: Vec<(u32, f64)> = Vec::with_capacity(8);
         let share = |expert: usize, copies: usize| self.fast[expert] / copies as f64;
@@ -293,8 +291,8 @@
             let ranks = &self.experts[other];
             let now = share(other, ranks.len());
             let after = share(other, ranks.len() - 1);
-            let rest = ranks.iter().filter(|rank| **rank != step.to);
-            changes.extend(rest.map(|rank| (*rank, after - now)));
+            let remaining = ranks.iter().filter(|rank| **rank != step.to);
+            changes.extend(remaining.map(|rank| (*rank, after - now)));
             changes.push((step.to, -now));
         }
         let after = |rank: u32| {
--- a/decision/src/placement/layout.rs
+++ b/decision/src/placement/layout.rs
@@ -1,4 +1,4 @@
-//! Which ranks hold which experts: an expert map without its epoch.
+//! Assignment of experts to ranks: an expert map without its epoch.
 
 use std::fmt;
 
@@ -10,28 +10,28 @@
 /// Shape of a group.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Shape {
-    /// Layers with experts.
+    /// Number of layers with experts.
     pub layers: u32,
-    /// Experts of each layer.
+    /// Number of experts of each layer.
     pub experts: u32,
-    /// Ranks of the group.
+    /// Number of ranks of the group.
     pub ranks: u32,
-    /// Experts that one rank holds of one layer at the most.
+    /// Maximum number of experts of one layer that a rank holds.
     pub slots: u32,
 }
 
 impl Shape {
-    /// Ids of the layers.
+    /// Returns the ids of the layers.
     pub fn layer_ids(&self) -> impl Iterator<Item = entity::Layer> + use<> {
         (0..self.layers).map(entity::Layer::from_u32)
     }
 
-    /// Ids of the ranks.
+    /// Returns the ids of the ranks.
     pub fn rank_ids(&self) -> impl Iterator<Item = entity::Rank> + use<> {
         (0..self.ranks).map(entity::Rank::from_u32)
     }
 
-    /// Ids of the experts of a layer.
+    /// Returns the ids of the experts of a layer.
     pub fn expert_ids(&self) -> impl Iterator<Item = entity::Expert> + use<> {
         (0..self.experts).map(entity::Expert::from_u32)
     }
@@ -40,30 +40,30 @@
 /// Ranks that hold an expert, in ascending order.
 pub type Copies = Vec<u32>;
 
-/// The layout. Invariants: see [`Layout::verify`].
+/// Assignment of experts to ranks. [`Layout::verify`] lists the invariants.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Layout {
     /// Shape of the group.
     pub shape: Shape,
-    /// By layer, by expert: the ranks that hold it.
+    /// Ranks that hold each expert, indexed by layer and expert.
     pub layers: Vec<Vec<Copies>>,
 }
 
 impl Layout {
-    /// Each expert once, dealt round the ranks.
+    /// Returns a layout with one copy of each expert, assigned to the ranks round-robin.
     pub fn round_robin(shape: Shape) -> Layout {
         let layer: Vec<Copies> =
             (0..shape.experts).map(|expert| vec![expert % shape.ranks]).collect();
         Layout { shape, layers: vec![layer; shape.layers as usize] }
     }
 
-    /// The ranks that hold an expert.
+    /// Returns the ranks that hold an expert.
     pub fn copies(&self, layer: entity::Layer, expert: entity::Expert) -> &Copies {
         &self.layers[layer.as_u32() as usize][expert.as_u32() as usize]
     }
 
-    /// Experts that a rank must load to go over from `from` to this layout, summed
-    /// over ranks and layers.
+    /// Returns the number of expert loads for a switch from `from` to this layout, summed over
+    /// ranks and layers.
     pub fn loads_from(&self, from: &Layout) -> u32 {
         let pairs = self.layers.iter().flatten().zip(from.layers.iter().flatten());
         let added = |(new, old): (&Copies, &Copies)| {
@@ -72,25 +72,25 @@
         pairs.map(added).sum()
     }
 
-    /// Hash of the layout.
+    /// Returns a hash of the layout.
     pub fn digest(&self) -> u64 {
         let mut hasher = xxh3::Xxh3::new();
         for copies in self.layers.iter().flatten() {
             for rank in copies {
                 hasher.update(&rank.to_le_bytes());
             }
-            // An end mark keeps neighbours apart.
+            // The terminator keeps adjacent lists distinct.
             hasher.update(&u32::MAX.to_le_bytes());
         }
         hasher.digest()
     }
 
-    /// Checks the invariants: every expert is held, by known ranks, no rank
-    /// twice, and no rank holds more than its slots.
+    /// Checks the invariants: every expert has a copy, all its ranks are known and listed once,
+    /// and no rank holds more experts of a layer than it has slots.
     ///
     /// # Errors
     ///
-    /// The first [`Fault`] found.
+    /// The first [`Fault`] that is found.
     pub fn verify(&self) -> Result<(), Fault> {
         if self.layers.len() != self.shape.layers as usize {
             return Err(Fault::Layers);
@@ -129,31 +129,31 @@
     }
 }
 
-/// A broken invariant of a layout.
+/// Violated invariant of a layout.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum Fault {
-    /// The number of layers is not the shape's.
-    #[error("number of layers")]
+    /// The number of layers differs from the shape.
+    #[error("number of layers does not match the shape")]
     Layers,
-    /// The number of experts of a layer is not the shape's.
-    #[error("number of experts of {0}")]
+    /// The number of experts of a layer differs from the shape.
+    #[error("number of experts of {0} does not match the shape")]
     Experts(entity::Layer),
     /// No rank holds the expert.
     #[error("no rank holds {1} of {0}")]
     Unplaced(entity::Layer, entity::Expert),
-    /// The expert's ranks are not ascending, or one is there twice.
-    #[error("ranks of {1} of {0} are not ascending")]
+    /// The ranks of the expert are not in ascending order, or one is listed twice.
+    #[error("ranks of {1} of {0} are not strictly ascending")]
     Order(entity::Layer, entity::Expert),
-    /// An unknown rank holds the expert.
-    #[error("unknown rank for {1} of {0}")]
+    /// The expert is assigned to an unknown rank.
+    #[error("{1} of {0} is assigned to an unknown rank")]
     Rank(entity::Layer, entity::Expert),
     /// The rank holds more experts than it has slots.
-    #[error("{1} holds too many experts of {0}")]
+    #[error("{1} holds more experts of {0} than it has slots")]
     Slots(entity::Layer, entity::Rank),
 }
 
 impl fmt::Display for Layout {
-    /// A line a layer: `layer0: expert0=0,3 expert1=1 ..`.
+    /// Writes one line per layer: `layer0: expert0=0,3 expert1=1 ..`.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (layer, experts) in self.layers.iter().enumerate() {
             write!(f, "layer{layer}:")?;
--- a/decision/src/placement/load.rs
+++ b/decision/src/placement/load.rs
@@ -1,8 +1,8 @@
-//! How many tokens each expert gets.
+//! Number of tokens that each expert receives.
 
 use crate::entity;
 
-/// Tokens in some interval, by layer and expert; dense, layer by layer.
+/// Tokens in an interval by layer and expert, stored densely in layer order.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Load {
     experts: usize,
@@ -10,39 +10,39 @@
 }
 
 impl Load {
-    /// No tokens yet, for that many layers of that many experts.
+    /// Creates a load without tokens for `layers` layers of `experts` experts.
     pub fn new(layers: usize, experts: usize) -> Load {
         Load { experts, tokens: vec![0.0; layers * experts] }
     }
 
-    /// Number of layers.
+    /// Returns the number of layers.
     pub fn layers(&self) -> usize {
         self.tokens.len() / self.experts.max(1)
     }
 
-    /// Number of experts of a layer.
+    /// Returns the number of experts of a layer.
     pub fn experts(&self) -> usize {
         self.experts
     }
 
-    /// Tokens of the experts of a layer.
+    /// Returns the tokens of the experts of a layer.
     pub fn layer(&self, layer: entity::Layer) -> &[f64] {
         let start = layer.as_u32() as usize * self.experts;
         &self.tokens[start..start + self.experts]
     }
 
-    /// Tokens of the experts of a layer, to be changed.
+    /// Returns the tokens of the experts of a layer for modification.
     pub fn layer_mut(&mut self, layer: entity::Layer) -> &mut [f64] {
         let start = layer.as_u32() as usize * self.experts;
         &mut self.tokens[start..start + self.experts]
     }
 
-    /// Sum over all layers and experts.
+    /// Returns the sum over all layers and experts.
     pub fn total(&self) -> f64 {
         self.tokens.iter().sum()
     }
 
-    /// Moves towards a newer load by a part `gain` of the difference.
+    /// Updates the exponential moving average with a newer load, whose weight is `gain`.
     pub fn blend(&mut self, newer: &Load, gain: f64) {
         for (old, new) in self.tokens.iter_mut().zip(&newer.tokens) {
             *old += gain * (new - *old);
--- a/decision/src/placement/pack.rs
+++ b/decision/src/placement/pack.rs
@@ -1,35 +1,35 @@
-//! Makes a layout from nothing: hot experts get copies, then the copies are
-//! placed longest first, each on the least loaded rank that has room.
+//! Construction of a layout from scratch.
 //!
-//! The placing is the longest-processing-time rule of Graham, "Bounds on
-//! multiprocessing timing anomalies", 1969.
+//! Hot experts are replicated. Then the copies are placed in descending order of their load, each
+//! on the least loaded rank with a free slot. This is the longest-processing-time rule of Graham,
+//! "Bounds on multiprocessing timing anomalies", 1969.
 
 use crate::entity;
 use crate::placement::{cost, layout, load};
 
-/// One copy of an expert to be placed.
+/// Copy of an expert that is to be placed.
 #[derive(Debug, Clone, Copy)]
 struct Copy {
     expert: usize,
     tokens: f64,
 }
 
-/// Packs all layers. `replicas` bounds the copies of one expert. `None` where
-/// the sound ranks have too few slots for the experts.
+/// Packs all layers with at most `replicas` copies of an expert. Returns `None` if the healthy
+/// ranks have too few slots for the experts.
 pub fn pack(
     shape: layout::Shape,
     load: &load::Load,
     health: &cost::Health,
     replicas: u32,
 ) -> Option<layout::Layout> {
-    let sound: Vec<u32> = (0..shape.ranks).filter(|rank| !health.lost(*rank)).collect();
-    let room = sound.len() * shape.slots as usize;
+    let healthy: Vec<u32> = (0..shape.ranks).filter(|rank| !health.lost(*rank)).collect();
+    let room = healthy.len() * shape.slots as usize;
     if room < shape.experts as usize {
         return None;
     }
     let layers: Option<Vec<_>> = shape
         .layer_ids()
-        .map(|layer| pack_layer(shape, load.layer(layer), health, &sound, replicas))
+        .map(|layer| pack_layer(shape, load.layer(layer), health, &healthy, replicas))
         .collect();
     let packed = layout::Layout { shape, layers: layers? };
     debug_assert_eq!(packed.verify(), Ok(()));
@@ -40,10 +40,10 @@
     shape: layout::Shape,
     tokens: &[f64],
     health: &cost::Health,
-    sound: &[u32],
+    healthy: &[u32],
     replicas: u32,
 ) -> Option<Vec<layout::Copies>> {
-    let counts = replicate(tokens, sound.len() * shape.slots as usize, sound.len(), replicas);
+    let counts = replicate(tokens, healthy.len() * shape.slots as usize, healthy.len(), replicas);
     let mut copies: Vec<Copy> = Vec::new();
     for (expert, count) in counts.iter().enumerate() {
         let share = tokens[expert] / f64::from(*count);
@@ -56,13 +56,13 @@
     for copy in copies {
         let time = |rank: u32| times[rank as usize] + copy.tokens * health.slowness[rank as usize];
         let fits = |rank: &u32| free[*rank as usize] > 0 && !placed[copy.expert].contains(rank);
-        let rank = sound
+        let rank = healthy
             .iter()
             .copied()
             .filter(fits)
             .min_by(|a, b| time(*a).total_cmp(&time(*b)).then(a.cmp(b)));
         let Some(rank) = rank else {
-            // A copy more than the first may be left out; the first may not.
+            // An additional copy can be omitted, the first one cannot.
             if placed[copy.expert].is_empty() {
                 return None;
             }
@@ -76,8 +76,8 @@
     Some(placed)
 }
 
-/// Copies of each expert: one each, then one more for whichever has the most
-/// tokens a copy, while there is room.
+/// Returns the number of copies of each expert. Each has one; while slots are free, the expert with
+/// the most tokens per copy gets another one.
 fn replicate(tokens: &[f64], room: usize, ranks: usize, replicas: u32) -> Vec<u32> {
     let most = replicas.min(ranks as u32).max(1);
     let mut counts = vec![1; tokens.len()];
@@ -92,8 +92,8 @@
     counts
 }
 
-/// Renames the ranks of a packed layout, layer by layer, so that as many
-/// experts as can be stay where they are: ranks are matched greedily by what they share.
+/// Permutes the ranks of a packed layout, layer by layer, to reduce the number of experts that
+/// move. Ranks are matched greedily by the number of experts that they share.
 pub fn relabel(packed: &mut layout::Layout, current: &layout::Layout, health: &cost::Health) {
     for layer in packed.shape.layer_ids() {
         relabel_layer(packed, current, health, layer);
@@ -116,25 +116,25 @@
             }
         }
     }
-    // Only ranks of one speed may change places, else the times would change.
-    let alike = |a: usize, b: usize| health.slowness[a] == health.slowness[b];
+    // Only ranks of equal speed are exchanged, otherwise the times would change.
+    let same_speed = |a: usize, b: usize| health.slowness[a] == health.slowness[b];
     let mut pairs: Vec<(u32, usize, usize)> = Vec::new();
     for a in 0..ranks {
-        let others = (0..ranks).filter(|b| alike(a, *b));
+        let others = (0..ranks).filter(|b| same_speed(a, *b));
         pairs.extend(others.map(|b| (shared[a * ranks + b], a, b)));
     }
     pairs.sort_by(|x, y| y.0.cmp(&x.0).then(x.1.cmp(&y.1)).then(x.2.cmp(&y.2)));
-    let mut name: Vec<Option<u32>> = vec![None; ranks];
+    let mut label: Vec<Option<u32>> = vec![None; ranks];
     let mut taken = vec![false; ranks];
     for (_, a, b) in pairs {
-        if name[a].is_none() && !taken[b] {
-            name[a] = Some(b as u32);
+        if label[a].is_none() && !taken[b] {
+            label[a] = Some(b as u32);
             taken[b] = true;
         }
     }
     for copies in &mut packed.layers[index] {
         for rank in copies.iter_mut() {
-            *rank = name[*rank as usize].unwrap_or(*rank);
+            *rank = label[*rank as usize].unwrap_or(*rank);
         }
         copies.sort_unstable();
     }
--- a/decision/src/placement/policy.rs
+++ b/decision/src/placement/policy.rs
@@ -1,21 +1,21 @@
-//! When to change a group's layout, and how far.
+//! Policies that decide when and how to change the layout of a group.
 //!
-//! All but [`Incremental`] are baselines that the benchmark compares it with.
+//! All policies except [`Incremental`] are baselines for comparison in the benchmark.
 
 use crate::placement::{cost, improve, layout, load, pack};
 
-/// What is known when a decision is due.
+/// Input of a decision.
 #[derive(Debug, Clone, Copy)]
 pub struct Observation<'a> {
-    /// Tokens of the last interval, as reported.
+    /// Reported tokens of the last interval.
     pub load: &'a load::Load,
-    /// How the ranks are.
+    /// Health of the ranks.
     pub health: &'a cost::Health,
 }
 
-/// A way to decide.
+/// Placement policy.
 pub trait Policy {
-    /// The layout to go over to, or `None` to stay.
+    /// Returns the layout to switch to, or `None` to keep the current one.
     fn decide(
         &mut self,
         observation: Observation<'_>,
@@ -23,7 +23,7 @@
     ) -> Option<layout::Layout>;
 }
 
-/// Baseline: stays as it is.
+/// Baseline that keeps the current layout.
 #[derive(Debug, Default)]
 pub struct Never;
 
@@ -33,12 +33,12 @@
     }
 }
 
-/// Baseline: packs on the first observation and stays.
+/// Baseline that packs on the first observation and keeps that layout.
 #[derive(Debug)]
 pub struct Once {
-    /// Copies of one expert at the most.
+    /// Maximum number of copies of an expert.
     pub replicas: u32,
-    /// Whether it has packed.
+    /// Whether the layout has been packed.
     pub done: bool,
 }
 
@@ -55,10 +55,10 @@
     }
 }
 
-/// Baseline: packs anew at every interval, on the last observation.
+/// Baseline that packs from the last observation at every interval.
 #[derive(Debug)]
 pub struct Repack {
-    /// Copies of one expert at the most.
+    /// Maximum number of copies of an expert.
     pub replicas: u32,
 }
 
@@ -85,18 +85,17 @@
 /// Weights and bounds of [`Incremental`].
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Rules {
-    /// Weight of a part of a step's time, relative to the ideal step, that is
-    /// saved for one interval.
+    /// Weight of the step time saved in one interval, as a fraction of the ideal step time.
     pub skew_weight: f64,
-    /// Weight of loading one expert's share of a layer, relative to all experts of all layers.
+    /// Weight of one expert load, as a fraction of the experts of all layers.
     pub cost_weight: f64,
-    /// Expert loads that one decision may order.
+    /// Maximum number of expert loads of one decision.
     pub moves: u32,
-    /// Copies of one expert at the most.
+    /// Maximum number of copies of an expert.
     pub replicas: u32,
-    /// Intervals for which a saving is expected to last.
+    /// Number of intervals for which a gain is expected to last.
     pub horizon: f64,
-    /// Weight of the newest observation in the fast and the slow average.
+    /// Weights of the newest observation in the fast and in the slow moving average.
     pub gains: (f64, f64),
 }
 
@@ -113,8 +112,8 @@
     }
 }
 
-/// Moves only what pays: the part of a step's time that a move is expected to save
-/// over the horizon, against the loads that it takes.
+/// Policy that makes only moves whose expected gain exceeds their cost. The gain is the fraction of
+/// the step time saved over the horizon; the cost is that of the expert loads.
 #[derive(Debug)]
 pub struct Incremental {
     rules: Rules,
@@ -122,12 +121,12 @@
 }
 
 impl Incremental {
-    /// No observation yet.
+    /// Creates the policy without observations.
     pub fn new(rules: Rules) -> Incremental {
         Incremental { rules, averages: None }
     }
 
-    /// Takes other weights and bounds, and keeps what was observed.
+    /// Replaces the weights and bounds and keeps the moving averages.
     pub fn set_rules(&mut self, rules: Rules) {
         self.rules = rules;
     }
@@ -140,7 +139,7 @@
         averages
     }
 
-    /// What a load must save of each step at the least, in the load's unit.
+    /// Returns the minimum time that an expert load must save per step, in the unit of the load.
     fn min_gain_per_load(rules: &Rules, load: &load::Load, health: &cost::Health) -> f64 {
         if rules.skew_weight <= 0.0 {
             return f64::INFINITY;
@@ -172,8 +171,8 @@
     }
 }
 
-/// Takes every expert off the lost ranks; one that no other rank holds goes to
-/// the sound rank with room, or with a copy to spare, that has least to do.
+/// Removes all experts from the lost ranks. An expert without another copy moves to the least
+/// loaded healthy rank that has a free slot or holds a redundant copy.
 fn evacuate(layout: &mut layout::Layout, health: &cost::Health, load: &load::Load) {
     let lost: Vec<u32> = (0..layout.shape.ranks).filter(|rank| health.lost(*rank)).collect();
     if lost.is_empty() {
@@ -196,8 +195,8 @@
     }
 }
 
-/// The least loaded sound rank with a free slot in the layer; where none has
-/// one, a copy that another rank holds too gives way.
+/// Returns the least loaded healthy rank with a free slot in the layer. If there is none, frees a
+/// slot by removing a copy of an expert that another rank holds too.
 fn evacuation_target(
     layout: &mut layout::Layout,
     health: &cost::Health,
@@ -212,11 +211,11 @@
     let held = |experts: &[layout::Copies], rank: u32| {
         experts.iter().filter(|copies| copies.contains(&rank)).count() as u32
     };
-    let sound = (0..layout.shape.ranks).filter(|rank| !health.lost(*rank));
-    let mut ranks: Vec<u32> = sound.collect();
+    let healthy = (0..layout.shape.ranks).filter(|rank| !health.lost(*rank));
+    let mut ranks: Vec<u32> = healthy.collect();
     ranks.sort_by(|a, b| times[*a as usize].total_cmp(&times[*b as usize]).then(a.cmp(b)));
-    let roomy = ranks.iter().find(|rank| held(experts, **rank) < layout.shape.slots);
-    if let Some(rank) = roomy {
+    let with_free_slot = ranks.iter().find(|rank| held(experts, **rank) < layout.shape.slots);
+    if let Some(rank) = with_free_slot {
         return Some(*rank);
     }
     for rank in ranks {
--- a/decision/src/placement/spread.rs
+++ b/decision/src/placement/spread.rs
@@ -1,61 +1,61 @@
-//! Spreads the experts of one set over the ranks of a lock-step group.
+//! Local search that spreads the experts of one set over the ranks of a lock-step group.
 //!
-//! A pass waits for the rank that takes longest for its experts of each set, so
-//! the search takes load off that rank, again and again, by the one change that
-//! leaves the ranks it touches least busy: a copy of one of its experts goes to
-//! another rank, or takes over from it, or it changes places with one there. A
-//! slow rank counts as many times as loaded as it is slower. The search ends
-//! where nothing helps by more than a threshold, or where the ranks are even
-//! enough. The work of a round grows with the experts that a rank holds, and a
-//! little with the ranks, not with all experts.
+//! A pass waits at each set for the rank that takes longest for its experts. So the search
+//! repeatedly takes load off that rank with the one change after which the slowest of the affected
+//! ranks is the fastest: one of its experts is copied or moved to another rank, dropped where
+//! others hold it too, or swapped with an expert there. The load of a slow rank is multiplied by
+//! its slowness. The search ends when no change gains more than a threshold, or when the peak
+//! reaches the target. The cost of a round grows with the number of experts that a rank holds and
+//! slightly with the number of ranks, but not with the number of all experts.
 
 use std::cmp::Ordering;
 
-/// Ranks that are looked at for help to the slowest one. In groups of up to so
-/// many and one this is all of them; in larger ones looking at the least busy
-/// takes a part of the time, and plans get no worse (`docs/CAPACITY.md`).
-const HELPERS: usize = 48;
+/// Maximum number of ranks that are considered as receivers of load of the slowest rank. In groups
+/// of up to this many and one ranks, all others are considered. In larger groups, considering only
+/// the least loaded ones takes a fraction of the time and makes plans no worse
+/// (`docs/CAPACITY.md`).
+const MAX_RECEIVERS: usize = 48;
 
-/// What a rank may hold and take in.
+/// Limits on the experts that a rank holds and adds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Bounds {
-    /// Experts that a rank may hold.
+    /// Maximum number of experts that a rank holds.
     pub placements: usize,
-    /// Experts that a rank may take in that it did not hold before.
+    /// Maximum number of experts that a rank adds to those that it held before.
     pub spare: usize,
 }
 
-/// When the search ends.
+/// Conditions for the end of the search.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Goal {
-    /// Load of the most loaded rank over the mean at which it is even enough.
+    /// Peak at which the search ends: time of the slowest rank over the least possible time.
     pub target_peak: f64,
-    /// Least gain of one change, as a part of the mean load.
+    /// Minimum gain of a change, as a fraction of the mean load.
     pub min_gain: f64,
 }
 
-/// Experts of a set by rank.
+/// Experts of a set that each rank holds.
 pub type Ranks = Vec<Vec<u16>>;
 
-/// What a set has to bear.
+/// Load of a set and speed of its ranks.
 #[derive(Debug, Clone, Copy)]
 pub struct Demand<'a> {
     /// Load of each expert.
     pub load: &'a [f64],
-    /// How many times as long as usual each rank takes; those that are not in
-    /// it are as fast as usual.
+    /// Factor by which each rank is slower than usual. Ranks beyond the end of the slice have the
+    /// usual speed.
     pub slowness: &'a [f64],
 }
 
-/// Time of the slowest rank over the least possible one; 1 is perfect. One
-/// where there is no load.
+/// Returns the time of the slowest rank over the least possible time. 1 is perfect and is also the
+/// result without load.
 pub fn peak(ranks: &Ranks, demand: Demand<'_>) -> f64 {
     let state = State::new(ranks, demand, Bounds { placements: usize::MAX, spare: 0 });
     state.peak()
 }
 
-/// Spreads the load. Experts that a rank does not hold in `before` count
-/// against its bound. Returns `None` where nothing is gained.
+/// Spreads the load. Experts that a rank does not hold in `before` count towards its bound.
+/// Returns `None` if nothing is gained.
 pub fn spread(before: &Ranks, demand: Demand<'_>, bounds: Bounds, goal: Goal) -> Option<Ranks> {
     let mut search = Search::new(before, demand, bounds);
     let mut room = vec![usize::MAX; before.len()];
@@ -66,67 +66,67 @@
     changed.then_some(search.state.ranks)
 }
 
-/// A search that is taken further one change after the other.
+/// Search that is advanced by one change at a time.
 pub struct Search<'a> {
     state: State<'a>,
-    /// Changes that are left: each takes load off one rank, so that so many end
-    /// any search.
-    left: usize,
+    /// Number of changes that are still allowed. Each change takes load off a rank, so that this
+    /// limit ends any search.
+    remaining: usize,
 }
 
 impl<'a> Search<'a> {
-    /// A search that begins with a placement.
+    /// Creates a search that starts from a placement.
     pub fn new(before: &'a Ranks, demand: Demand<'a>, bounds: Bounds) -> Search<'a> {
-        let left = before.len() * bounds.placements.min(demand.load.len()) * 2;
-        Search { state: State::new(before, demand, bounds), left }
+        let remaining = before.len() * bounds.placements.min(demand.load.len()) * 2;
+        Search { state: State::new(before, demand, bounds), remaining }
     }
 
-    /// Time of the slowest rank over the least possible one.
+    /// Returns the time of the slowest rank over the least possible time.
     pub fn peak(&self) -> f64 {
         self.state.peak()
     }
 
-    /// The placement that it has come to.
+    /// Returns the current placement.
     pub fn ranks(&self) -> &Ranks {
         &self.state.ranks
     }
 
-    /// Makes the next change, if it takes that part of the mean load off the
-    /// slowest rank. `room` has the experts that each rank may still take in,
-    /// over all sets, and is kept up. Returns whether there was a change.
+    /// Makes the next change if it takes at least `min_gain`, a fraction of the mean load, off the
+    /// slowest rank. `room` is the number of experts that each rank can still add, over all sets;
+    /// the call updates it. Returns whether there was a change.
     pub fn advance(&mut self, min_gain: f64, room: &mut [usize]) -> bool {
-        if self.left == 0 {
+        if self.remaining == 0 {
             return false;
         }
         let Some(change) = self.state.best(min_gain, room) else { return false };
-        self.left -= 1;
+        self.remaining -= 1;
         let [one, other] = change.ranks();
-        let before = (self.state.taken(one), self.state.taken(other));
+        let before = (self.state.added(one), self.state.added(other));
         self.state.apply(&change);
-        room[one] = room[one].saturating_add(before.0) - self.state.taken(one);
+        room[one] = room[one].saturating_add(before.0) - self.state.added(one);
         if other != one {
-            room[other] = room[other].saturating_add(before.1) - self.state.taken(other);
+            room[other] = room[other].saturating_add(before.1) - self.state.added(other);
         }
         true
     }
 }
 
-/// A change of one or two ranks.
+/// Change of one or two ranks.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Change {
-    /// The expert gets one more holder, in the place of `instead` if given,
-    /// which other ranks hold too.
-    Copy { expert: u16, to: usize, instead: Option<u16> },
-    /// The expert leaves the rank for another one.
+    /// The expert gets an additional holder. If `replaced` is given, it takes the place of that
+    /// expert, which other ranks hold too.
+    Copy { expert: u16, to: usize, replaced: Option<u16> },
+    /// The expert moves from one rank to another.
     Move { expert: u16, from: usize, to: usize },
-    /// The expert leaves the rank; others that hold it take its part over.
+    /// The expert is removed from the rank; its other holders take over its load.
     Drop { expert: u16, from: usize },
-    /// Two experts change places.
+    /// Two experts are swapped.
     Swap { expert: u16, from: usize, other: u16, to: usize },
 }
 
 impl Change {
-    /// The ranks that may take an expert in or give one up.
+    /// Returns the ranks that the change adds experts to or removes experts from.
     fn ranks(&self) -> [usize; 2] {
         match *self {
             Change::Copy { to, .. } => [to, to],
@@ -145,7 +145,7 @@
     holders: Vec<Vec<usize>>,
     /// Load of each rank.
     sums: Vec<f64>,
-    /// Time that every rank would take if the load were spread at will.
+    /// Time of every rank if the load could be divided arbitrarily.
     ideal: f64,
 }
 
@@ -177,13 +177,13 @@
         state
     }
 
-    /// Load of an expert on each of its holders, if there were so many more.
+    /// Returns the load of an expert on each of its holders with `more` additional holders.
     fn share(&self, expert: u16, more: isize) -> f64 {
         let holders = self.holders[usize::from(expert)].len() as isize + more;
         if holders <= 0 { 0.0 } else { self.load[usize::from(expert)] / holders as f64 }
     }
 
-    /// Time that a rank would take with so much more load than it has.
+    /// Returns the time of a rank with `more` load in addition to its current load.
     fn time(&self, rank: usize, more: f64) -> f64 {
         (self.sums[rank] + more) * self.slowness.get(rank).copied().unwrap_or(1.0)
     }
@@ -200,146 +200,150 @@
         self.time(self.slowest(), 0.0) / self.ideal
     }
 
-    /// Experts that a rank holds and did not hold before.
-    fn taken(&self, rank: usize) -> usize {
+    /// Returns the number of experts that a rank holds and did not hold before.
+    fn added(&self, rank: usize) -> usize {
         let old = &self.before[rank];
         self.ranks[rank].iter().filter(|expert| !old.contains(expert)).count()
     }
 
-    /// Whether a rank has given up an expert, which it may have back at no cost.
-    fn lacks(&self, rank: usize) -> bool {
+    /// Returns whether an expert was removed from a rank. It can be added again at no cost.
+    fn has_removed(&self, rank: usize) -> bool {
         self.before[rank].iter().any(|expert| !self.ranks[rank].contains(expert))
     }
 
-    /// Whether a rank may take an expert in, with `leaving` gone from it.
-    fn may_take(&self, rank: usize, expert: u16, leaving: Option<u16>, room: &[usize]) -> bool {
+    /// Returns whether an expert can be added to a rank after `removed` is removed from it.
+    fn can_add(&self, rank: usize, expert: u16, removed: Option<u16>, room: &[usize]) -> bool {
         let held = &self.ranks[rank];
         if held.contains(&expert) {
             return false;
         }
-        if held.len() + 1 - usize::from(leaving.is_some()) > self.bounds.placements {
+        if held.len() + 1 - usize::from(removed.is_some()) > self.bounds.placements {
             return false;
         }
         let old = &self.before[rank];
         if old.contains(&expert) {
             return true;
         }
-        let kept = held.iter().filter(|held| Some(**held) != leaving);
+        let kept = held.iter().filter(|held| Some(**held) != removed);
         let new = kept.filter(|held| !old.contains(held)).count();
-        new < self.bounds.spare && new < self.taken(rank).saturating_add(room[rank])
+        new < self.bounds.spare && new < self.added(rank).saturating_add(room[rank])
     }
 
-    /// The other ranks that may help one, as many as are looked at, by their
-    /// numbers: those that are least busy.
-    fn helpers(&self, from: usize, limit: f64, room: &[usize]) -> Vec<usize> {
-        // A rank that is as busy, or that may take nothing in, cannot help.
-        let may = |rank: usize| room[rank] > 0 || self.taken(rank) > 0 || self.lacks(rank);
-        let helps = |rank: &usize| *rank != from && self.time(*rank, 0.0) < limit && may(*rank);
-        let mut ranks: Vec<usize> = (0..self.ranks.len()).filter(helps).collect();
-        if ranks.len() > HELPERS {
+    /// Returns the ranks, in ascending order, that can receive load of rank `from`: the least
+    /// loaded ones, up to [`MAX_RECEIVERS`].
+    fn receivers(&self, from: usize, limit: f64, room: &[usize]) -> Vec<usize> {
+        // A rank that is as loaded, or that cannot add any expert, is no receiver.
+        let can_receive =
+            |rank: usize| room[rank] > 0 || self.added(rank) > 0 || self.has_removed(rank);
+        let is_receiver =
+            |rank: &usize| *rank != from && self.time(*rank, 0.0) < limit && can_receive(*rank);
+        let mut ranks: Vec<usize> = (0..self.ranks.len()).filter(is_receiver).collect();
+        if ranks.len() > MAX_RECEIVERS {
             let by_time = |a: &usize, b: &usize| self.time(*a, 0.0).total_cmp(&self.time(*b, 0.0));
-            ranks.select_nth_unstable_by(HELPERS, by_time);
-            ranks.truncate(HELPERS);
+            ranks.select_nth_unstable_by(MAX_RECEIVERS, by_time);
+            ranks.truncate(MAX_RECEIVERS);
             ranks.sort_unstable();
         }
         ranks
     }
 
-    /// The change that leaves the ranks it touches least busy, if it takes
-    /// enough off the slowest rank.
+    /// Returns the change after which the slowest of the affected ranks is the fastest, if it takes
+    /// enough load off the slowest rank.
     fn best(&self, min_gain: f64, room: &[usize]) -> Option<Change> {
         let from = self.slowest();
         let limit = self.time(from, 0.0) - min_gain * self.ideal;
-        let helpers = self.helpers(from, limit, room);
+        let receivers = self.receivers(from, limit, room);
         let mut best: Option<(f64, Change)> = None;
-        let mut offer = |worst: f64, change: Change| {
+        let mut consider = |worst: f64, change: Change| {
             let better = best.is_none_or(|(least, _)| worst.total_cmp(&least) == Ordering::Less);
             if worst < limit && better {
                 best = Some((worst, change));
             }
         };
         for expert in &self.ranks[from] {
-            self.offer_drop(*expert, from, &mut offer);
-            for to in &helpers {
-                self.offers(*expert, (from, *to), room, &mut offer);
+            self.evaluate_drop(*expert, from, &mut consider);
+            for to in &receivers {
+                self.evaluate(*expert, (from, *to), room, &mut consider);
             }
         }
         best.map(|(_, change)| change)
     }
 
-    /// The expert leaves the rank if others hold it too.
-    fn offer_drop(&self, expert: u16, from: usize, offer: &mut impl FnMut(f64, Change)) {
+    /// Evaluates the removal of an expert that other ranks hold too.
+    fn evaluate_drop(&self, expert: u16, from: usize, consider: &mut impl FnMut(f64, Change)) {
         let holders = &self.holders[usize::from(expert)];
         if holders.len() < 2 {
             return;
         }
         let share = self.share(expert, 0);
         let worst = self.time(from, -share).max(self.time_without(expert, from));
-        offer(worst, Change::Drop { expert, from });
+        consider(worst, Change::Drop { expert, from });
     }
 
-    /// Time of the slowest of the other holders of an expert that leaves a rank.
-    fn time_without(&self, expert: u16, leaving: usize) -> f64 {
+    /// Returns the time of the slowest of the other holders of an expert that is removed from a
+    /// rank.
+    fn time_without(&self, expert: u16, removed: usize) -> f64 {
         let more = self.share(expert, -1) - self.share(expert, 0);
-        let others = self.holders[usize::from(expert)].iter().filter(|rank| **rank != leaving);
+        let others = self.holders[usize::from(expert)].iter().filter(|rank| **rank != removed);
         others.map(|rank| self.time(*rank, more)).fold(0.0, f64::max)
     }
 
-    fn offers(
+    /// Evaluates copying, moving and swapping an expert from one rank to another.
+    fn evaluate(
         &self,
         expert: u16,
         (from, to): (usize, usize),
         room: &[usize],
-        offer: &mut impl FnMut(f64, Change),
+        consider: &mut impl FnMut(f64, Change),
     ) {
         let share = self.share(expert, 0);
         if share <= 0.0 {
             return;
         }
         let after_copy = self.share(expert, 1);
-        let relieved = self.time(from, after_copy - share);
-        if self.may_take(to, expert, None, room) {
-            let change = Change::Copy { expert, to, instead: None };
-            offer(relieved.max(self.time(to, after_copy)), change);
+        let from_time = self.time(from, after_copy - share);
+        if self.can_add(to, expert, None, room) {
+            let change = Change::Copy { expert, to, replaced: None };
+            consider(from_time.max(self.time(to, after_copy)), change);
             let change = Change::Move { expert, from, to };
-            offer(self.time(from, -share).max(self.time(to, share)), change);
+            consider(self.time(from, -share).max(self.time(to, share)), change);
         }
         for other in &self.ranks[to] {
             let other_share = self.share(*other, 0);
-            if self.may_take(to, expert, Some(*other), room) {
-                self.offer_instead(expert, to, *other, relieved, offer);
-                let gives = share - other_share;
-                if gives > 0.0 && self.may_take(from, *other, Some(expert), room) {
-                    let worst = self.time(from, -gives).max(self.time(to, gives));
-                    offer(worst, Change::Swap { expert, from, other: *other, to });
+            if self.can_add(to, expert, Some(*other), room) {
+                self.evaluate_replacement(expert, to, *other, from_time, consider);
+                let delta = share - other_share;
+                if delta > 0.0 && self.can_add(from, *other, Some(expert), room) {
+                    let worst = self.time(from, -delta).max(self.time(to, delta));
+                    consider(worst, Change::Swap { expert, from, other: *other, to });
                 }
             }
         }
     }
 
-    /// A copy in the place of one of an expert that others hold too: these
-    /// take over its part.
-    fn offer_instead(
+    /// Evaluates a copy that replaces an expert that other ranks hold too; these take over its
+    /// load.
+    fn evaluate_replacement(
         &self,
         expert: u16,
         to: usize,
         other: u16,
-        relieved: f64,
-        offer: &mut impl FnMut(f64, Change),
+        from_time: f64,
+        consider: &mut impl FnMut(f64, Change),
     ) {
         if self.holders[usize::from(other)].len() < 2 {
             return;
         }
-        let others = self.time_without(other, to);
-        let here = self.time(to, self.share(expert, 1) - self.share(other, 0));
-        let change = Change::Copy { expert, to, instead: Some(other) };
-        offer(relieved.max(here).max(others), change);
+        let others_time = self.time_without(other, to);
+        let to_time = self.time(to, self.share(expert, 1) - self.share(other, 0));
+        let change = Change::Copy { expert, to, replaced: Some(other) };
+        consider(from_time.max(to_time).max(others_time), change);
     }
 
     fn apply(&mut self, change: &Change) {
         match *change {
-            Change::Copy { expert, to, instead } => {
-                if let Some(other) = instead {
+            Change::Copy { expert, to, replaced } => {
+                if let Some(other) = replaced {
                     self.drop_from(other, to);
                 }
                 self.add_to(expert, to);
--- a/decision/src/placement/stage.rs
+++ b/decision/src/placement/stage.rs
@@ -1,59 +1,59 @@
-//! How much of a change of a group's map to make at once.
+//! Extent of a single change of a group's map.
 //!
-//! All ranks wait for the one that copies most, and meanwhile the group runs on
-//! the old map, and slower. So a change is searched for with few copies a rank
-//! first, then with more, over all sets together, each copy going where passes
-//! are longest. Taken is what shortens passes most for the time it takes; the
-//! rest follows with the next change, for the demand of that time.
+//! All ranks wait for the rank that copies most experts, and in the meantime the group runs with
+//! the old map, and more slowly because of the copying. So the search first allows few copies per
+//! rank and then more, over all sets together, and assigns each copy to the set with the longest
+//! time. It selects the change that shortens passes most in relation to its duration. Further
+//! moves are left to the next change, which is planned for the demand at that time.
 
 use std::time::Duration;
 
 use crate::placement::spread::{Bounds, Demand, Goal, Ranks, Search};
 
-/// How long a change takes.
+/// Durations of the parts of a change.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Times {
-    /// Time in which a rank copies one expert.
+    /// Time that a rank needs to copy one expert.
     pub copy: Duration,
-    /// Time of a change beside its copies.
+    /// Time of a change in addition to its copies.
     pub switch: Duration,
 }
 
-/// A change of the map of all sets.
+/// Planned change of the map of all sets.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Stage {
-    /// The map after it.
+    /// Map after the change.
     pub map: Vec<Ranks>,
-    /// Mean over the sets of the slowest rank's time over the least possible
-    /// one, before and after.
+    /// Ratio of the time of the slowest rank to the least possible time, as a mean over the sets,
+    /// before and after the change.
     pub peak: (f64, f64),
-    /// Experts that ranks take in, and those of the rank that takes in most.
+    /// Number of experts that all ranks copy, and that of the rank that copies most.
     pub copies: (usize, usize),
-    /// How long it takes.
+    /// Duration of the change.
     pub time: Duration,
 }
 
 impl Stage {
-    /// What it shortens passes by, as a part of the least possible time of the
-    /// experts' work.
+    /// Returns by how much the change shortens passes, as a fraction of the least possible time of
+    /// the work of the experts.
     pub fn gain(&self) -> f64 {
         self.peak.0 - self.peak.1
     }
 
-    /// Its gain for the time it takes.
+    /// Returns the gain per second of the duration of the change.
     fn rate(&self) -> f64 {
         self.gain() / self.time.as_secs_f64().max(f64::MIN_POSITIVE)
     }
 }
 
-/// Copies a rank with which a change is tried, one after the other.
+/// Numbers of copies per rank that are tried in turn.
 const DEPTHS: [usize; 12] = [0, 1, 2, 3, 4, 6, 8, 12, 16, 24, 32, 48];
-/// Part of the best rate below which the rate of a deeper change ends the
-/// search: gains fall off with depth.
-const FALLEN_OFF: f64 = 0.6;
+/// Fraction of the best rate below which the rate of a deeper change ends the search, since gains
+/// diminish with depth.
+const MIN_RATE_RATIO: f64 = 0.6;
 
-/// The change of a map that gains most for its time, where `demand` tells what
-/// each set has to bear. `None` where there is nothing to gain.
+/// Returns the change of a map with the greatest gain for its duration under the `demand` of each
+/// set, or `None` if no change has a gain.
 pub fn plan(
     map: &[Ranks],
     demand: &[Demand<'_>],
@@ -67,11 +67,11 @@
         pairs.map(|(ranks, demand)| Search::new(ranks, *demand, bounds)).collect();
     let before = mean_peak(&searches);
     let mut room = vec![0; ranks];
-    let mut given = 0;
+    let mut granted = 0;
     let mut best: Option<Stage> = None;
     for depth in DEPTHS {
-        room.iter_mut().for_each(|room| *room += depth - given);
-        given = depth;
+        room.iter_mut().for_each(|room| *room += depth - granted);
+        granted = depth;
         advance(&mut searches, goal, &mut room);
         let deepest = room.iter().map(|room| depth - room.min(&depth)).max().unwrap_or(0);
         let copies = room.iter().map(|room| depth - room.min(&depth)).sum();
@@ -84,7 +84,7 @@
         let rate = best.as_ref().map_or(0.0, Stage::rate);
         if stage.rate() > rate {
             best = Some(stage);
-        } else if stage.rate() < rate * FALLEN_OFF || deepest < depth {
+        } else if stage.rate() < rate * MIN_RATE_RATIO || deepest < depth {
             break;
         }
     }
@@ -96,22 +96,22 @@
     sum / searches.len().max(1) as f64
 }
 
-/// Takes the searches on, that of the longest time first, until all are even
-/// enough or nothing helps.
+/// Advances the searches, always the one with the highest peak, until all reach the target or no
+/// change has enough gain.
 fn advance(searches: &mut [Search<'_>], goal: Goal, room: &mut [usize]) {
-    // Only the peak of the set that was changed is another one.
+    // The peaks are cached: a change affects only the peak of its own set.
     let mut open: Vec<(usize, f64)> = searches
         .iter()
         .map(Search::peak)
         .enumerate()
         .filter(|(_, peak)| *peak > goal.target_peak)
         .collect();
-    while let Some(place) = (0..open.len()).max_by(|a, b| open[*a].1.total_cmp(&open[*b].1)) {
-        let set = open[place].0;
+    while let Some(index) = (0..open.len()).max_by(|a, b| open[*a].1.total_cmp(&open[*b].1)) {
+        let set = open[index].0;
         let advanced = searches[set].advance(goal.min_gain, room);
-        open[place].1 = searches[set].peak();
-        if !advanced || open[place].1 <= goal.target_peak {
-            open.remove(place);
+        open[index].1 = searches[set].peak();
+        if !advanced || open[index].1 <= goal.target_peak {
+            open.remove(index);
         }
     }
 }
