--- a/decision/tests/difference.rs
+++ b/decision/tests/difference.rs
@@ -1,4 +1,7 @@
-//! A map is told by its difference from one that is held, and by nothing else.
+//! Tests of the difference encoding of maps.
+//!
+//! They guard against a rank that builds a wrong map from a difference: because it has another
+//! base, or because the message is truncated or corrupted.
 
 #![allow(clippy::unwrap_used, reason = "a test that fails may panic")]
 
@@ -22,38 +25,38 @@
     #![proptest_config(ProptestConfig { cases: 500, rng_seed: RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
     #[test]
-    fn any_map_is_made_of_any_other(base in map(), map in map()) {
+    fn reconstructs_any_map_from_any_base(base in map(), map in map()) {
         let bytes = difference::encode(&base, &map).unwrap();
-        let made = difference::apply(&base, &bytes, difference::digest(&map)).unwrap();
-        prop_assert_eq!(made, canonical(&map));
+        let result = difference::apply(&base, &bytes, difference::digest(&map)).unwrap();
+        prop_assert_eq!(result, canonical(&map));
     }
 
     #[test]
-    fn another_base_is_noticed(base in map(), other in map(), map in map()) {
+    fn a_different_base_never_gives_a_wrong_map(base in map(), other in map(), map in map()) {
         prop_assume!(canonical(&base) != canonical(&other));
         let bytes = difference::encode(&base, &map).unwrap();
-        if let Ok(made) = difference::apply(&other, &bytes, difference::digest(&map)) {
-            prop_assert_eq!(made, canonical(&map));
+        if let Ok(result) = difference::apply(&other, &bytes, difference::digest(&map)) {
+            prop_assert_eq!(result, canonical(&map));
         }
     }
 
     #[test]
-    fn any_bytes_end_in_a_map_or_an_error(bytes in proptest::collection::vec(any::<u8>(), 0..200), base in map()) {
-        let made = difference::apply(&base, &bytes, 1);
-        prop_assert!(made.is_err());
+    fn rejects_arbitrary_bytes(bytes in proptest::collection::vec(any::<u8>(), 0..200), base in map()) {
+        let result = difference::apply(&base, &bytes, 1);
+        prop_assert!(result.is_err());
     }
 
     #[test]
-    fn what_is_cut_off_or_changed_is_an_error(base in map(), map in map(), at in any::<prop::sample::Index>(), bit in 0..8_u8) {
+    fn rejects_truncated_or_corrupted_differences(base in map(), map in map(), at in any::<prop::sample::Index>(), bit in 0..8_u8) {
         let digest = difference::digest(&map);
         let bytes = difference::encode(&base, &map).unwrap();
         let cut = at.index(bytes.len());
         prop_assert!(difference::apply(&base, &bytes[..cut], digest).is_err());
         let mut changed = bytes.clone();
         changed[cut] ^= 1 << bit;
-        if let Ok(made) = difference::apply(&base, &changed, digest) {
-            // Bits that fill the last byte mean nothing.
-            prop_assert_eq!(made, canonical(&map));
+        if let Ok(result) = difference::apply(&base, &changed, digest) {
+            // Padding bits of the last byte are ignored.
+            prop_assert_eq!(result, canonical(&map));
         }
         let mut longer = bytes;
         longer.push(0);
@@ -62,24 +65,24 @@
 }
 
 #[test]
-fn experts_are_dealt_out_in_turn() {
+fn initial_map_is_round_robin() {
     assert_eq!(difference::round_robin(1, 5, 2), vec![vec![vec![0, 2, 4], vec![1, 3]]]);
 }
 
 #[test]
-fn maps_of_another_shape_have_no_difference() {
+fn encodes_no_difference_between_maps_of_different_shapes() {
     let base = difference::round_robin(2, 8, 4);
     assert_eq!(difference::encode(&base, &difference::round_robin(2, 8, 2)), None);
     assert_eq!(difference::encode(&base, &difference::round_robin(1, 8, 4)), None);
 }
 
-/// Bytes of a difference by the experts that come, for the largest groups.
+/// The size of a difference depends on the number of added experts, also in the largest groups.
 #[test]
-fn bytes_follow_the_change_and_not_the_map() {
+fn size_depends_on_the_change_and_not_on_the_map() {
     for ranks in [16, 192, 1_024] {
         let base = difference::round_robin(10, 2 * ranks, ranks);
         let mut map = base.clone();
-        // A hundred experts come in the place of others.
+        // A hundred experts replace others.
         for number in 0..100 {
             let (set, rank) = (number % 10, number * 7 % ranks);
             let list = &mut map[set][rank];
@@ -90,7 +93,7 @@
         let bytes = difference::encode(&base, &map).unwrap();
         assert!(bytes.len() < 450, "{} bytes at {ranks} ranks", bytes.len());
     }
-    // The first change of a large group gives most ranks another expert.
+    // The first change of a large group adds an expert to most ranks.
     let (sets, ranks) = (10, 192);
     let base = difference::round_robin(sets, 2 * ranks, ranks);
     let mut map = base.clone();
--- a/decision/tests/maps.rs
+++ b/decision/tests/maps.rs
@@ -1,4 +1,7 @@
-//! In every step all ranks of a group use one and the same map.
+//! Model test of map changes: all ranks of a group use the same map in every step.
+//!
+//! It guards against ranks that run a step with different maps. The triggers are concurrent
+//! drivers, lost answers, late or repeated orders, and restarts of agents and engines.
 
 #![allow(clippy::unwrap_used, reason = "a test that fails may panic")]
 
@@ -14,23 +17,23 @@
 
 #[derive(Debug, Clone)]
 enum Event {
-    /// A driver reads the record and begins a change, or goes on with its own.
+    /// A driver reads the record and begins a change, which replaces the one it was making.
     Begin(usize, u8),
-    /// The next command of a driver is carried out, or its answer is lost.
+    /// The next command of a driver is carried out; its answer may be lost.
     Work {
         driver: usize,
         lost: bool,
     },
-    /// An order that was sent before arrives (again).
+    /// An order that was sent before is delivered again.
     Deliver(prop::sample::Index),
-    /// An agent restarts and learns its fence from another one, or the platform.
+    /// An agent restarts and learns its fence from another agent or from the platform.
     RestartAgent {
         rank: usize,
         platform: bool,
     },
-    /// An engine restarts on the map that it starts with.
+    /// An engine restarts with its initial map.
     RestartEngine(usize),
-    /// The driver brings a rank to the map in force.
+    /// The driver prepares the active map on a rank and activates it on rank 0.
     Reconcile(usize),
     Step,
 }
@@ -41,7 +44,7 @@
     order: gate::Order,
 }
 
-/// An engine that obeys whatever passes its agent's gate.
+/// Engine that carries out every order that its agent's gate accepts.
 #[derive(Debug, Clone, Default)]
 struct Engine {
     prepared: BTreeMap<u64, u64>,
@@ -49,12 +52,12 @@
 }
 
 impl Engine {
-    fn fresh() -> Engine {
+    fn initial() -> Engine {
         Engine { prepared: BTreeMap::from([(0, 0)]), active: 0 }
     }
 }
 
-struct World {
+struct Model {
     revision: u64,
     record: record::Record,
     drivers: Vec<Option<(change::Driver, Vec<change::Command>, u64)>>,
@@ -62,7 +65,7 @@
     engines: Vec<Engine>,
     sent: Vec<Order>,
     nonces: u64,
-    /// Epoch of the last step that ran; it falls only if an engine restarted.
+    /// Epoch of the last step; it decreases only after a restart of an engine.
     last: u64,
     engine_restarted: bool,
 }
@@ -71,23 +74,23 @@
     layout::Shape { layers: 1, experts: 4, ranks: RANKS as u32, slots: 3 }
 }
 
-fn some_layout(salt: u8) -> layout::Layout {
+fn layout_for(salt: u8) -> layout::Layout {
     let mut layout = layout::Layout::round_robin(shape());
     let other = u32::from(salt) % RANKS as u32;
     layout.layers[0][usize::from(salt) % 4] = vec![other];
     layout
 }
 
-impl World {
-    fn new() -> World {
+impl Model {
+    fn new() -> Model {
         let mut gate = gate::Gate::default();
         gate.learn(gate::Fence(0));
-        World {
+        Model {
             revision: 0,
             record: record::Record::default(),
             drivers: (0..DRIVERS).map(|_| None).collect(),
             gates: vec![gate; RANKS],
-            engines: vec![Engine::fresh(); RANKS],
+            engines: vec![Engine::initial(); RANKS],
             sent: Vec::new(),
             nonces: 0,
             last: 0,
@@ -100,17 +103,17 @@
         self.nonces.to_string()
     }
 
-    fn happen(&mut self, event: Event) {
+    fn apply(&mut self, event: Event) {
         match event {
             Event::Begin(driver, salt) => {
-                // A driver goes on from a group that is all on the map in force.
+                // A driver begins a change only if all engines use the active map.
                 let active = self.record.active_epoch().0;
                 if self.engines.iter().any(|engine| engine.active != active) {
-                    return self.happen(Event::Reconcile(0));
+                    return self.apply(Event::Reconcile(0));
                 }
                 let nonces = [self.nonce(), self.nonce()];
                 let (machine, first) =
-                    change::Driver::begin(&self.record, some_layout(salt), nonces);
+                    change::Driver::begin(&self.record, layout_for(salt), nonces);
                 self.drivers[driver] = Some((machine, vec![first], self.revision));
             }
             Event::Work { driver, lost } => self.work(driver, lost),
@@ -134,7 +137,7 @@
                 }
             }
             Event::RestartEngine(rank) => {
-                self.engines[rank] = Engine::fresh();
+                self.engines[rank] = Engine::initial();
                 self.engine_restarted = true;
             }
             Event::Reconcile(rank) => {
@@ -160,15 +163,15 @@
         let events = match commands.pop() {
             None => return,
             Some(change::Command::Write(record)) => {
-                let won = revision == self.revision;
-                if won {
+                let applied = revision == self.revision;
+                if applied {
                     self.revision += 1;
                     self.record = record;
                     revision = self.revision;
                 }
-                // A lost answer leaves the driver without word: it gives up.
-                let told = won && !lost;
-                vec![if told {
+                // The driver aborts the change when the answer is lost.
+                let confirmed = applied && !lost;
+                vec![if confirmed {
                     change::Event::Written(gate::Fence(revision))
                 } else {
                     change::Event::NotWritten
@@ -226,16 +229,20 @@
         true
     }
 
-    /// Rank 0 launches a step; whoever has not prepared its epoch holds it.
+    /// Rank 0 launches a step; an engine that has not prepared its epoch blocks it.
     fn step(&mut self) {
         let epoch = self.engines[0].active;
         let used: Vec<Option<u64>> =
             self.engines.iter().map(|engine| engine.prepared.get(&epoch).copied()).collect();
         if used.iter().any(Option::is_none) {
-            assert!(self.engine_restarted, "the group holds on epoch {epoch}");
+            assert!(self.engine_restarted, "the group is blocked at epoch {epoch}");
             return;
         }
-        assert!(self.engine_restarted || epoch >= self.last, "back from {} to {epoch}", self.last);
+        assert!(
+            self.engine_restarted || epoch >= self.last,
+            "epoch decreased from {} to {epoch}",
+            self.last
+        );
         self.last = epoch;
         assert!(used.iter().all(|digest| *digest == used[0]), "epoch {epoch}: {used:?}");
         self.engines.iter_mut().for_each(|engine| engine.active = epoch);
@@ -254,7 +261,7 @@
     ]
 }
 
-/// The same cases in every run.
+/// Configuration with a fixed seed: the same cases in every run.
 fn config(cases: u32) -> ProptestConfig {
     let rng_seed = RngSeed::Fixed(20_261_202);
     ProptestConfig { cases, rng_seed, failure_persistence: None, ..ProptestConfig::default() }
@@ -264,28 +271,28 @@
     #![proptest_config(config(10_000))]
 
     #[test]
-    fn every_step_has_one_map(events in prop::collection::vec(event(), 1..120)) {
-        let mut world = World::new();
+    fn all_ranks_use_the_same_map_in_every_step(events in prop::collection::vec(event(), 1..120)) {
+        let mut model = Model::new();
         for event in events {
-            world.happen(event);
+            model.apply(event);
         }
-        // Whatever happened, a driver that is left alone brings a new map in force.
-        world.drivers[0] = None;
+        // After any sequence of events, a driver without interference can activate a new map.
+        model.drivers[0] = None;
         for rank in 0..RANKS {
-            world.happen(Event::RestartEngine(rank));
+            model.apply(Event::RestartEngine(rank));
         }
-        for gate in &mut world.gates {
-            gate.learn(gate::Fence(world.revision));
+        for gate in &mut model.gates {
+            gate.learn(gate::Fence(model.revision));
         }
-        (0..RANKS).for_each(|rank| world.happen(Event::Reconcile(rank)));
-        world.step();
-        world.happen(Event::Begin(0, 1));
+        (0..RANKS).for_each(|rank| model.apply(Event::Reconcile(rank)));
+        model.step();
+        model.apply(Event::Begin(0, 1));
         for _ in 0..4 {
-            world.happen(Event::Work { driver: 0, lost: false });
+            model.apply(Event::Work { driver: 0, lost: false });
         }
-        let ended = world.drivers[0].as_ref().and_then(|driver| driver.0.ended());
+        let ended = model.drivers[0].as_ref().and_then(|driver| driver.0.ended());
         prop_assert_eq!(ended, Some(change::End::Done));
-        world.step();
-        prop_assert_eq!(world.engines[1].active, world.record.active_epoch().0);
+        model.step();
+        prop_assert_eq!(model.engines[1].active, model.record.active_epoch().0);
     }
 }
--- a/decision/tests/stage.rs
+++ b/decision/tests/stage.rs
@@ -1,4 +1,7 @@
-//! A change of the map is as deep as pays for the time of its copies.
+//! Tests that a planned change copies as many experts as its gain justifies.
+//!
+//! They guard against plans whose stated copies or duration differ from their map, plans that
+//! exceed the bounds, and plans that lengthen passes.
 
 #![allow(clippy::unwrap_used, reason = "a test that fails may panic")]
 
@@ -14,15 +17,15 @@
 const RANKS: usize = 12;
 const EXPERTS: usize = 96;
 
-fn dealt() -> Ranks {
+fn round_robin() -> Ranks {
     (0..RANKS).map(|rank| (rank..EXPERTS).step_by(RANKS).map(|e| e as u16).collect()).collect()
 }
 
-/// A power law whose most popular expert differs from set to set.
+/// Returns loads with a power law; the most popular expert differs from set to set.
 fn loads(sets: usize) -> Vec<Vec<f64>> {
     let load = |set: usize| {
-        let place = move |expert: usize| (expert + set * 7) % EXPERTS + 1;
-        (0..EXPERTS).map(|expert| 1.0 / (place(expert) as f64).powf(1.1)).collect()
+        let position = move |expert: usize| (expert + set * 7) % EXPERTS + 1;
+        (0..EXPERTS).map(|expert| 1.0 / (position(expert) as f64).powf(1.1)).collect()
     };
     (0..sets).map(load).collect()
 }
@@ -46,9 +49,9 @@
 }
 
 #[test]
-fn slow_copies_make_a_shallow_change_and_fast_ones_a_deep_one() {
+fn plans_fewer_copies_per_rank_when_copies_are_slow() {
     let loads = loads(3);
-    let map = vec![dealt(); 3];
+    let map = vec![round_robin(); 3];
     let slow = plan(1_000, 200, &loads, &map);
     let fast = plan(10, 200, &loads, &map);
     assert!(slow.copies.1 <= 2, "{}", slow.copies.1);
@@ -57,9 +60,9 @@
 }
 
 #[test]
-fn the_copies_that_are_told_are_those_of_the_map() {
+fn reported_copies_match_the_planned_map() {
     let loads = loads(3);
-    let map = vec![dealt(); 3];
+    let map = vec![round_robin(); 3];
     for copy_ms in [1, 50, 400] {
         let stage = plan(copy_ms, 300, &loads, &map);
         let copies = copies_of(&map, &stage.map);
@@ -72,15 +75,15 @@
 }
 
 #[test]
-fn changes_one_after_the_other_come_as_far_as_one_deep_one() {
+fn successive_changes_reach_the_peak_of_one_large_change() {
     let loads = loads(3);
-    let mut map = vec![dealt(); 3];
+    let mut map = vec![round_robin(); 3];
     let mean = |map: &[Ranks]| {
         let peaks = map.iter().zip(&loads);
         let peaks = peaks.map(|(ranks, load)| spread::peak(ranks, Demand { load, slowness: &[] }));
         peaks.sum::<f64>() / 3.0
     };
-    let deep = plan(0, 300, &loads, &map);
+    let large = plan(0, 300, &loads, &map);
     for _ in 0..12 {
         let demand: Vec<Demand<'_>> =
             loads.iter().map(|load| Demand { load, slowness: &[] }).collect();
@@ -90,11 +93,11 @@
             None => break,
         }
     }
-    assert!(mean(&map) < deep.peak.1 + 0.15, "{} {}", mean(&map), deep.peak.1);
+    assert!(mean(&map) < large.peak.1 + 0.15, "{} {}", mean(&map), large.peak.1);
 }
 
 #[test]
-fn any_load_keeps_the_bounds_and_never_lengthens_passes() {
+fn respects_the_bounds_and_never_lengthens_passes() {
     let config = ProptestConfig {
         cases: 200,
         rng_seed: RngSeed::Fixed(5),
@@ -106,7 +109,7 @@
     let mut runner = proptest::test_runner::TestRunner::new(config);
     runner
         .run(&strategy, |(loads, copy_ms)| {
-            let mut map = vec![dealt(); 3];
+            let mut map = vec![round_robin(); 3];
             for _ in 0..3 {
                 let demand: Vec<Demand<'_>> =
                     loads.iter().map(|load| Demand { load, slowness: &[] }).collect();
@@ -120,8 +123,8 @@
                 prop_assert!(stage.peak.1 <= stage.peak.0);
                 for (old, new) in map.iter().flatten().zip(stage.map.iter().flatten()) {
                     prop_assert!(new.len() <= BOUNDS.placements);
-                    let taken = new.iter().filter(|expert| !old.contains(expert)).count();
-                    prop_assert!(taken <= BOUNDS.spare);
+                    let added = new.iter().filter(|expert| !old.contains(expert)).count();
+                    prop_assert!(added <= BOUNDS.spare);
                 }
                 for set in &stage.map {
                     let held = |expert: u16| set.iter().any(|rank| rank.contains(&expert));
--- a/decision/tests/switch.rs
+++ b/decision/tests/switch.rs
@@ -1,5 +1,7 @@
-//! No pass begins while two ranks of a group hold different maps, whatever
-//! orders are lost, late or doubled, and with two drivers.
+//! Model test of the switch protocol: no pass begins while ranks of a group use different maps.
+//!
+//! The model loses, delays and repeats orders, loses answers, and lets a second driver take over,
+//! also while the engine of the first driver is unreachable.
 
 #![allow(clippy::unwrap_used, reason = "a test that fails may panic")]
 
@@ -11,10 +13,10 @@
 const RANKS: usize = 4;
 /// Rank of the driver's own engine.
 const DRIVER: usize = 0;
-/// Passes from the present one to the one that is held.
-const AHEAD: u64 = 2;
+/// Distance from the current pass to the held one.
+const HOLD_DISTANCE: u64 = 2;
 
-/// An engine that keeps to the rules of its interface.
+/// Engine that follows the rules of its interface.
 #[derive(Debug, Clone, Copy, Default)]
 struct Engine {
     condition: Condition,
@@ -22,41 +24,41 @@
 }
 
 impl Engine {
-    /// Takes an order; returns whether it is accepted.
-    fn take(&mut self, order: Order, pass: u64) -> bool {
+    /// Carries out an order if it is valid; returns whether it is accepted.
+    fn execute(&mut self, order: Order, pass: u64) -> bool {
         let state = &mut self.condition;
         match order {
             Order::Prepare { version } => {
                 if state.prepared == Some(version) {
                     return true;
                 }
-                let fits = version > self.highest && state.armed.is_none();
-                if fits {
+                let accepted = version > self.highest && state.armed.is_none();
+                if accepted {
                     self.highest = version;
                     state.prepared = Some(version);
                 }
-                fits
+                accepted
             }
             Order::Hold { pass: held } => {
-                let fits = held > pass && state.held.is_none_or(|other| other == held);
-                if fits {
+                let accepted = held > pass && state.held.is_none_or(|other| other == held);
+                if accepted {
                     state.held = Some(held);
                 }
-                fits
+                accepted
             }
             Order::Arm { version, pass: at } => {
-                let fits = state.prepared == Some(version) && at > pass;
-                if fits {
+                let accepted = state.prepared == Some(version) && at > pass;
+                if accepted {
                     state.armed = Some((version, at));
                 }
-                fits
+                accepted
             }
             Order::Disarm { version } => {
-                let fits = state.armed.is_some_and(|(armed, _)| armed == version);
-                if fits {
+                let accepted = state.armed.is_some_and(|(armed, _)| armed == version);
+                if accepted {
                     state.armed = None;
                 }
-                fits
+                accepted
             }
             Order::Release { pass: held } => {
                 if state.held == Some(held) {
@@ -67,7 +69,7 @@
         }
     }
 
-    /// Whether the engine's state shows an order's effect.
+    /// Returns whether the state of the engine shows the effect of an order.
     fn shows(&self, order: Order) -> bool {
         let state = &self.condition;
         match order {
@@ -93,7 +95,7 @@
         Group { engines: [Engine::default(); RANKS], pass: 0 }
     }
 
-    /// Begins the next pass unless it is held. Returns the maps of the ranks.
+    /// Begins the next pass unless it is held, and returns the maps of the ranks.
     fn step(&mut self) -> Vec<u64> {
         let next = self.pass + 1;
         if self.engines.iter().all(|engine| engine.condition.held != Some(next)) {
@@ -116,46 +118,49 @@
 
 #[derive(Debug, Clone)]
 enum Event {
-    /// The driver gives one of its orders, which is answered, lost on the way,
-    /// or carried out with its answer lost.
-    Give { which: prop::sample::Index, fate: Fate },
-    /// An order that got no answer is carried out now.
+    /// The driver sends one of its orders with a given delivery.
+    Send { which: prop::sample::Index, delivery: Delivery },
+    /// A delayed order is carried out.
     Late(prop::sample::Index),
     /// The group begins a pass.
     Step,
-    /// The driver dies, and another one takes over.
+    /// The driver crashes, and another one takes over.
     TakeOver,
-    /// The driver's host freezes with its engine, and another driver takes over
-    /// that cannot ask the engine.
-    TakeOverUnseen,
+    /// The driver's host freezes with its engine, and another driver takes over that cannot query
+    /// the engine.
+    TakeOverUnreachable,
 }
 
 #[derive(Debug, Clone, Copy)]
-enum Fate {
+enum Delivery {
+    /// The engine handles the order and answers.
     Answered,
+    /// The order is lost.
     Lost,
+    /// The engine handles the order, and its answer is lost.
     Silent,
+    /// The order arrives later or never, without an answer.
     Delayed,
 }
 
 fn event() -> impl Strategy<Value = Event> {
-    let fate = prop_oneof![
-        6 => Just(Fate::Answered),
-        1 => Just(Fate::Lost),
-        1 => Just(Fate::Silent),
-        1 => Just(Fate::Delayed),
+    let delivery = prop_oneof![
+        6 => Just(Delivery::Answered),
+        1 => Just(Delivery::Lost),
+        1 => Just(Delivery::Silent),
+        1 => Just(Delivery::Delayed),
     ];
     prop_oneof![
-        12 => (any::<prop::sample::Index>(), fate).prop_map(|(which, fate)| Event::Give { which, fate }),
+        12 => (any::<prop::sample::Index>(), delivery).prop_map(|(which, delivery)| Event::Send { which, delivery }),
         2 => any::<prop::sample::Index>().prop_map(Event::Late),
         4 => Just(Event::Step),
         1 => Just(Event::TakeOver),
-        1 => Just(Event::TakeOverUnseen),
+        1 => Just(Event::TakeOverUnreachable),
     ]
 }
 
-/// A driver as the sidecar runs it: it finds out an order's effect from the
-/// engine's state, and gives it again where it is not known.
+/// Driver as in the sidecar: it determines the effect of an order from the state of the engine and
+/// repeats the order while the effect is unknown.
 struct Driver {
     switch: Option<Switch>,
     versions: u64,
@@ -169,7 +174,7 @@
             Switch::new(RANKS, version::encode(0, *versions, DRIVER, RANKS))
         });
         if switch.prepared() {
-            switch.hold(group.pass + AHEAD);
+            switch.hold(group.pass + HOLD_DISTANCE);
         }
         switch.orders()
     }
@@ -183,7 +188,7 @@
     }
 }
 
-/// Runs the events; returns how many changes were gone through with.
+/// Runs the events and returns the number of completed changes.
 fn run(events: Vec<Event>) -> Result<u32, TestCaseError> {
     let mut group = Group::new();
     let mut driver = Driver { switch: None, versions: 0 };
@@ -191,23 +196,25 @@
     let mut switched = 0;
     for event in events {
         match event {
-            Event::Give { which, fate } => {
+            Event::Send { which, delivery } => {
                 let orders = driver.orders(&group);
                 if orders.is_empty() {
                     continue;
                 }
                 let (rank, order) = orders[which.index(orders.len())];
-                let accepted = match fate {
-                    Fate::Answered | Fate::Silent => group.engines[rank].take(order, group.pass),
-                    Fate::Lost => false,
-                    Fate::Delayed => {
+                let accepted = match delivery {
+                    Delivery::Answered | Delivery::Silent => {
+                        group.engines[rank].execute(order, group.pass)
+                    }
+                    Delivery::Lost => false,
+                    Delivery::Delayed => {
                         delayed.push((rank, order));
                         false
                     }
                 };
-                let effect = match fate {
+                let effect = match delivery {
                     _ if group.engines[rank].shows(order) => Effect::Confirmed,
-                    Fate::Answered if !accepted => Effect::Refused,
+                    Delivery::Answered if !accepted => Effect::Refused,
                     _ => Effect::Unknown,
                 };
                 let outcome = driver.effect(rank, order, effect);
@@ -215,24 +222,24 @@
             }
             Event::Late(which) if !delayed.is_empty() => {
                 let (rank, order) = delayed.swap_remove(which.index(delayed.len()));
-                group.engines[rank].take(order, group.pass);
+                group.engines[rank].execute(order, group.pass);
             }
             Event::Late(_) => {}
             Event::Step => {
                 let maps = group.step();
                 prop_assert!(maps.windows(2).all(|pair| pair[0] == pair[1]), "{maps:?}");
             }
-            Event::TakeOverUnseen => {
+            Event::TakeOverUnreachable => {
                 let mut ranks: Vec<_> = group.conditions().into_iter().map(Some).collect();
                 ranks[DRIVER] = None;
                 let Some(mut switch) = Switch::resume_without(&ranks, group.pass) else {
                     continue;
                 };
-                // Requests keep the group busy: the pass begins at once.
+                // The group has requests, so that the pass begins immediately.
                 while switch.outcome().is_none() {
                     for (rank, order) in switch.orders() {
-                        prop_assert!(rank != DRIVER, "it cannot be reached");
-                        group.engines[rank].take(order, group.pass);
+                        prop_assert!(rank != DRIVER, "the rank is unreachable");
+                        group.engines[rank].execute(order, group.pass);
                         switch.effect(rank, order, Effect::Confirmed);
                     }
                 }
@@ -254,7 +261,7 @@
 }
 
 #[test]
-fn every_pass_has_one_map() {
+fn all_ranks_use_the_same_map_in_every_pass() {
     let config = ProptestConfig {
         cases: 20_000,
         rng_seed: RngSeed::Fixed(11),
@@ -271,7 +278,7 @@
         })
         .unwrap();
     switched += counted.get();
-    // The generated orders do take groups over, or nothing is shown.
+    // The test proves nothing unless the generated orders complete changes.
     assert!(switched > 20_000, "{switched}");
 }
 
@@ -280,7 +287,7 @@
 }
 
 #[test]
-fn a_change_whose_ranks_are_all_prepared_is_gone_through_with() {
+fn completes_a_change_whose_ranks_are_all_prepared() {
     let mut ranks = [armed(5, 9); RANKS];
     ranks[0].held = Some(9);
     ranks[2].armed = None;
@@ -289,7 +296,7 @@
 }
 
 #[test]
-fn a_change_that_a_rank_cannot_follow_is_undone() {
+fn undoes_a_change_that_a_rank_has_not_prepared() {
     let mut ranks = [armed(5, 9); RANKS];
     ranks[1].held = Some(9);
     ranks[2] = Condition::default();
@@ -303,7 +310,7 @@
 }
 
 #[test]
-fn a_hold_without_any_armed_rank_is_released() {
+fn releases_a_hold_without_an_armed_rank() {
     let mut ranks = [Condition::default(); RANKS];
     ranks[3].held = Some(4);
     let switch = Switch::resume(&ranks).unwrap();
@@ -311,27 +318,31 @@
 }
 
 #[test]
-fn ranks_that_were_let_go_on_are_left_alone() {
+fn does_not_resume_a_released_change() {
     assert_eq!(Switch::resume(&[armed(5, 9); RANKS]), None);
 }
 
-/// A version made by the driver beside rank 0.
+/// Version made by the driver beside rank 0.
 const VERSION: u64 = 5 * RANKS as u64;
 
-/// Takes a new change to the phase in which its ranks are armed.
+/// Returns a new change that is advanced to the phase in which its ranks are armed.
 fn arming() -> Switch {
     let mut switch = Switch::new(RANKS, VERSION);
     for (rank, order) in switch.orders() {
         switch.effect(rank, order, Effect::Confirmed);
     }
     switch.hold(9);
-    assert_eq!(switch.orders(), [(1, Order::Hold { pass: 9 })], "another rank than its own");
+    assert_eq!(
+        switch.orders(),
+        [(1, Order::Hold { pass: 9 })],
+        "the holder is not the driver's own rank"
+    );
     switch.effect(1, Order::Hold { pass: 9 }, Effect::Confirmed);
     switch
 }
 
 #[test]
-fn a_driver_arms_its_own_rank_last() {
+fn arms_the_rank_of_the_driver_last() {
     let mut switch = arming();
     let arm = Order::Arm { version: VERSION, pass: 9 };
     assert_eq!(switch.orders(), [(1, arm), (2, arm), (3, arm)]);
@@ -347,14 +358,14 @@
 }
 
 #[test]
-fn a_change_is_undone_without_its_drivers_rank_while_another_is_not_armed() {
+fn undoes_a_change_without_the_rank_of_its_driver_while_another_is_not_armed() {
     let prepared = Condition { prepared: Some(VERSION), ..Condition::default() };
     let holding = Condition { held: Some(9), ..prepared };
     let mut ranks = [Some(prepared); RANKS];
     ranks[0] = None;
-    assert_eq!(Switch::resume_without(&ranks, 8), None, "nothing is held");
+    assert_eq!(Switch::resume_without(&ranks, 8), None, "no pass is held");
     ranks[1] = Some(holding);
-    assert_eq!(Switch::resume_without(&ranks, 7), None, "a pass is left before the held one");
+    assert_eq!(Switch::resume_without(&ranks, 7), None, "another pass precedes the held one");
     let switch = Switch::resume_without(&ranks, 8).unwrap();
     assert_eq!(switch.orders(), [(1, Order::Release { pass: 9 })], "no rank is armed");
 
@@ -370,10 +381,10 @@
     assert_eq!(Switch::resume_without(&ranks, 8), None, "the driver's rank may be armed");
     ranks[0] = Some(prepared);
     ranks[3] = None;
-    assert_eq!(Switch::resume_without(&ranks, 8), None, "another rank is missing");
+    assert_eq!(Switch::resume_without(&ranks, 8), None, "a further rank is unknown");
 }
 
 #[test]
-fn nothing_is_left_to_do_in_a_quiet_group() {
+fn does_not_resume_without_a_held_pass() {
     assert_eq!(Switch::resume(&[Condition::default(); RANKS]), None);
 }
