--- a/clock/src/lib.rs
+++ b/clock/src/lib.rs
@@ -16,7 +16,7 @@
 
 /// Moves the clock on while the steady clock stands still, as a suspension of
 /// the host does. For tests; the running programs never call it.
-pub fn suspend(time: Duration) {
+pub fn simulate_suspension(time: Duration) {
     MOVED.fetch_add(time.as_micros() as u64, Ordering::Relaxed);
 }
 
@@ -93,7 +93,7 @@
     }
 
     /// For how long the host has been suspended since; none if it was not.
-    pub fn suspended(&self) -> Option<Duration> {
+    pub fn suspended_for(&self) -> Option<Duration> {
         let boot = self.boot.elapsed();
         let suspended = boot.saturating_sub(self.steady.elapsed());
         (suspended >= SHORTEST).then_some(suspended)
@@ -101,11 +101,11 @@
 }
 
 /// Waits until the host has been suspended; returns for how long.
-pub async fn suspended() -> Duration {
+pub async fn wait_for_suspension() -> Duration {
     let mark = Mark::now();
     loop {
         tokio::time::sleep(INTERVAL).await;
-        if let Some(time) = mark.suspended() {
+        if let Some(time) = mark.suspended_for() {
             return time;
         }
     }
--- a/dispatch/tests/suspension.rs
+++ b/dispatch/tests/suspension.rs
@@ -25,7 +25,7 @@
     let mut first = dispatcher.arrive(&arrival(Duration::from_secs(60)));
     assert!(matches!(first.next().await, Some(dispatch::Next::Send(_))));
     let mut second = dispatcher.arrive(&arrival(Duration::from_secs(30)));
-    boot::suspend(Duration::from_secs(40));
+    boot::simulate_suspension(Duration::from_secs(40));
     let told = tokio::time::timeout(Duration::from_secs(10), second.next()).await;
     let Some(dispatch::Next::Refuse(refusal)) = told.unwrap() else { panic!("it was sent") };
     assert_eq!(refusal.outcome, balancer::Outcome::NotRun);
--- a/gateway/src/lib.rs
+++ b/gateway/src/lib.rs
@@ -170,7 +170,7 @@
 /// suspended.
 async fn notice_suspensions(mirror: Arc<mirror::Mirror>) {
     loop {
-        let time = boot::suspended().await;
+        let time = boot::wait_for_suspension().await;
         mirror.woke(time);
     }
 }
--- a/sidecar/src/election.rs
+++ b/sidecar/src/election.rs
@@ -116,7 +116,7 @@
     /// term may have lapsed meanwhile, and the timer of the next renewal does
     /// not count that time. Returns whether it was.
     pub async fn check(&self) -> bool {
-        let Some(time) = self.last.borrow().suspended() else { return false };
+        let Some(time) = self.last.borrow().suspended_for() else { return false };
         log::warn!("host suspended ms={} next=renew", time.as_millis());
         let mut last = self.last.subscribe();
         self.wanted.notify_one();
--- a/sidecar/tests/suspension.rs
+++ b/sidecar/tests/suspension.rs
@@ -28,13 +28,13 @@
         tokio::task::yield_now().await;
     }
     assert!(!renewals.check().await);
-    boot::suspend(Duration::from_secs(5));
+    boot::simulate_suspension(Duration::from_secs(5));
     let asked = tokio::time::timeout(Duration::from_millis(400), renewals.check()).await;
     assert_eq!(asked, Ok(true), "half of the time until the next renewal");
     assert_eq!(store.seen().renewals, 2);
     assert!(!renewals.check().await);
     // It has lapsed in the second one.
-    boot::suspend(Duration::from_secs(5));
+    boot::simulate_suspension(Duration::from_secs(5));
     let waited = tokio::time::timeout(Duration::from_millis(400), renewals.check()).await;
     assert!(waited.is_err() || kept.is_finished());
     kept.await.unwrap();
