--- a/decision/src/admission.rs
+++ b/decision/src/admission.rs
@@ -256,7 +256,7 @@
     pub fn latest(&self, pool: entity::Pool, begin_by: clock::Instant) -> clock::Instant {
         let begin = self.pools.get(&pool).and_then(|line| line.begin);
         let (mean, deviation) = begin.unwrap_or_default();
-        begin_by.before(Duration::from_secs_f64(mean + BEGIN_DEVIATIONS * deviation))
+        begin_by.saturating_sub(Duration::from_secs_f64(mean + BEGIN_DEVIATIONS * deviation))
     }
 
     /// Whether all backend servers of the pool are without room.
--- a/decision/src/clock.rs
+++ b/decision/src/clock.rs
@@ -27,7 +27,7 @@
     }
 
     /// The moment that long before this one, no earlier than the origin.
-    pub fn before(self, span: Duration) -> Instant {
+    pub fn saturating_sub(self, span: Duration) -> Instant {
         Instant(self.0.saturating_sub(span.as_micros() as u64))
     }
 
@@ -80,7 +80,7 @@
     }
 
     /// The point that much earlier; the Unix epoch where it would lie before.
-    pub fn before(self, span: Duration) -> Wall {
+    pub fn saturating_sub(self, span: Duration) -> Wall {
         Wall(self.0.saturating_sub(span.as_millis() as u64))
     }
 }
--- a/decision/src/home/keeper.rs
+++ b/decision/src/home/keeper.rs
@@ -401,7 +401,7 @@
     /// Forgets keys from before the window. The horizon never falls, even if
     /// the wall clock does.
     fn forget(&mut self, wall: clock::Wall) {
-        self.horizon = self.horizon.max(wall.before(self.rules.window));
+        self.horizon = self.horizon.max(wall.saturating_sub(self.rules.window));
         while let Some(entry) = self.keys.first_entry() {
             if entry.key().time() >= self.horizon {
                 break;
--- a/decision/src/routing/rate.rs
+++ b/decision/src/routing/rate.rs
@@ -306,6 +306,6 @@
 
     /// A request is sent.
     pub fn sent(&mut self, now: clock::Instant) {
-        self.last = Some(self.next().max(now.before(SLACK)).min(now));
+        self.last = Some(self.next().max(now.saturating_sub(SLACK)).min(now));
     }
 }
--- a/mirror/src/ends.rs
+++ b/mirror/src/ends.rs
@@ -288,7 +288,7 @@
                 run: fleet::Run { id: mark.server.into(), born: mark.born },
                 digest,
                 mark: mark_of(mark.alone, mark.cleared),
-                at: now.before(Duration::from_millis(mark.age_ms.into())),
+                at: now.saturating_sub(Duration::from_millis(mark.age_ms.into())),
             });
         }
         if !items.is_empty() {
@@ -410,7 +410,7 @@
             run: fleet::Run { id: ended.server, born: ended.born },
             digest,
             mark: mark_of(ended.alone, false),
-            at: now.before(Duration::from_millis(wall.saturating_sub(ended.at))),
+            at: now.saturating_sub(Duration::from_millis(wall.saturating_sub(ended.at))),
         };
         entry.ends.into_iter().map(item).collect()
     }
