--- a/decision/src/mirror.rs
+++ b/decision/src/mirror.rs
@@ -85,7 +85,7 @@
 
     /// Notes that a key may have been removed, which takes effect at `due`
     /// unless the key is written again.
-    pub fn suspect(&mut self, key: &Arc<str>, revision: Revision, due: clock::Instant) {
+    pub fn suspect_removal(&mut self, key: &Arc<str>, revision: Revision, due: clock::Instant) {
         // What a listing before had is gone, too.
         self.held.retain(|held, (record, _)| held != key || record.revision > revision);
         let live =
@@ -104,7 +104,7 @@
     /// Holds a value of a later era that contradicts what is known, as the key had been
     /// removed, or, with `changed`, had another value: it takes effect at `due` unless
     /// the key is written again. Returns whether it is held.
-    pub fn hold(&mut self, record: &Record, due: clock::Instant, changed: bool) -> bool {
+    pub fn defer(&mut self, record: &Record, due: clock::Instant, changed: bool) -> bool {
         let Some(known) = self.entries.get(&record.key) else { return false };
         let later = known.revision.era < record.revision.era;
         let returned = known.value.is_none();
@@ -202,7 +202,7 @@
     }
 
     /// Revision of the newest record below a prefix.
-    pub fn newest(&self, prefix: &str) -> Revision {
+    pub fn newest_revision(&self, prefix: &str) -> Revision {
         let below = self.entries.iter().filter(|(key, _)| key.starts_with(prefix));
         below.map(|(_, entry)| entry.revision).max().unwrap_or_default()
     }
--- a/decision/tests/eras.rs
+++ b/decision/tests/eras.rs
@@ -45,10 +45,10 @@
     mirror.apply(&put("servers/b", 0, 31, "draining"), NOW);
     mirror.apply(&put("servers/c", 0, 32, "ready"), NOW);
     // The store is back without the last three writes.
-    assert!(mirror.hold(&put("servers/a", 1, 10, "ready"), NOW + GRACE, true));
-    assert!(mirror.hold(&put("servers/b", 1, 11, "ready"), NOW + GRACE, true));
-    assert!(!mirror.hold(&put("servers/c", 1, 12, "ready"), NOW + GRACE, true), "it is the same");
-    assert!(!mirror.hold(&put("servers/d", 1, 13, "ready"), NOW + GRACE, true), "it is new");
+    assert!(mirror.defer(&put("servers/a", 1, 10, "ready"), NOW + GRACE, true));
+    assert!(mirror.defer(&put("servers/b", 1, 11, "ready"), NOW + GRACE, true));
+    assert!(!mirror.defer(&put("servers/c", 1, 12, "ready"), NOW + GRACE, true), "it is the same");
+    assert!(!mirror.defer(&put("servers/d", 1, 13, "ready"), NOW + GRACE, true), "it is new");
     assert!(mirror.apply(&put("servers/a", 1, 21, "draining"), NOW));
     assert_eq!(mirror.next_expiry(), Some(NOW + GRACE));
     let due = mirror.expire(NOW + GRACE);
@@ -65,8 +65,8 @@
     mirror.apply(&put("op/evacuate/norte", 0, 30, "x"), NOW);
     mirror.apply(&Record { value: None, ..put("op/evacuate/norte", 0, 40, "") }, NOW);
     mirror.apply(&put("op/config", 0, 41, "17"), NOW);
-    assert!(mirror.hold(&put("op/evacuate/norte", 1, 30, "x"), NOW + GRACE, false));
-    assert!(!mirror.hold(&put("op/config", 1, 38, "21"), NOW + GRACE, false));
+    assert!(mirror.defer(&put("op/evacuate/norte", 1, 30, "x"), NOW + GRACE, false));
+    assert!(!mirror.defer(&put("op/config", 1, 38, "21"), NOW + GRACE, false));
 }
 
 /// Two losses within a second: what was written again after the first is lost as well.
@@ -75,10 +75,10 @@
     let mut mirror = Mirror::default();
     mirror.apply(&put("servers/a", 0, 30, "draining"), NOW);
     let later = NOW + Duration::from_secs(1);
-    assert!(mirror.hold(&put("servers/a", 1, 10, "ready"), NOW + GRACE, true));
-    assert!(mirror.hold(&put("servers/a", 1, 10, "ready"), later + GRACE, true));
+    assert!(mirror.defer(&put("servers/a", 1, 10, "ready"), NOW + GRACE, true));
+    assert!(mirror.defer(&put("servers/a", 1, 10, "ready"), later + GRACE, true));
     assert_eq!(mirror.next_expiry(), Some(NOW + GRACE));
-    assert!(mirror.hold(&put("servers/a", 2, 10, "ready"), later + GRACE, true));
+    assert!(mirror.defer(&put("servers/a", 2, 10, "ready"), later + GRACE, true));
     assert_eq!(mirror.next_expiry(), Some(later + GRACE));
 }
 
@@ -172,11 +172,11 @@
         let keys: Vec<Arc<str>> = items.keys().cloned().collect();
         let gone = self.mirror.missing("servers/", &keys, store.revision());
         for item in items.into_values() {
-            if !self.mirror.hold(&item, now + GRACE, true) {
+            if !self.mirror.defer(&item, now + GRACE, true) {
                 self.mirror.apply(&item, now);
             }
         }
-        gone.iter().for_each(|key| self.mirror.suspect(key, store.revision(), now + GRACE));
+        gone.iter().for_each(|key| self.mirror.suspect_removal(key, store.revision(), now + GRACE));
         self.mirror.set_listed("servers/", store.revision());
         self.after = Some(store.revision());
     }
--- a/decision/tests/mirror.rs
+++ b/decision/tests/mirror.rs
@@ -43,7 +43,7 @@
     mirror.apply(&put("servers/b", 2, "x"), NOW);
     let due = NOW + Duration::from_secs(2);
     let keys: [Arc<str>; 2] = ["servers/a".into(), "servers/b".into()];
-    keys.iter().for_each(|key| mirror.suspect(key, Revision::new(0, 7), due));
+    keys.iter().for_each(|key| mirror.suspect_removal(key, Revision::new(0, 7), due));
     assert!(mirror.expire(NOW + Duration::from_millis(1_999)).is_empty());
     mirror.apply(&put("servers/b", 8, "back"), NOW);
     assert_eq!(mirror.expire(due), [gone("servers/a", 7)]);
@@ -54,7 +54,7 @@
 fn a_removal_that_a_peer_is_sure_of_goes_before_a_suspicion() {
     let mut mirror = Mirror::default();
     mirror.apply(&put("servers/a", 1, "x"), NOW);
-    mirror.suspect(&"servers/a".into(), Revision::new(0, 7), NOW + Duration::from_secs(2));
+    mirror.suspect_removal(&"servers/a".into(), Revision::new(0, 7), NOW + Duration::from_secs(2));
     assert!(mirror.apply(&gone("servers/a", 7), NOW));
     assert!(mirror.expire(NOW + Duration::from_secs(3)).is_empty());
 }
--- a/mirror/src/lib.rs
+++ b/mirror/src/lib.rs
@@ -123,7 +123,7 @@
 
     /// A listing was of that era of the store.
     fn note_era(&self, era: u32) {
-        let newest = self.lock().newest("");
+        let newest = self.lock().newest_revision("");
         // Each change is one assignment.
         let mut known = self.era.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
         let of_peers = (!newest.is_zero()).then_some(newest.era);
--- a/mirror/src/watch.rs
+++ b/mirror/src/watch.rs
@@ -152,7 +152,7 @@
 /// Holds a value back that the store may have come back with, while whoever wrote the key
 /// last knows better. Returns whether it is held.
 fn hold(mirror: &Mirror, record: &Record, due: clock::Instant, changed: bool) -> bool {
-    let held = mirror.lock().hold(record, due, changed);
+    let held = mirror.lock().defer(record, due, changed);
     if held {
         log::info!("value held back key={} revision={}", record.key, record.revision);
         mirror.changes.send_modify(|version| *version += 1);
@@ -171,7 +171,7 @@
         Some(grace) => {
             log::info!("removal held back key={key} revision={revision} ms={}", grace.as_millis());
             let due = mirror.now() + grace;
-            mirror.lock().suspect(&key, revision, due);
+            mirror.lock().suspect_removal(&key, revision, due);
             mirror.changes.send_modify(|version| *version += 1);
         }
         None => mirror.apply(vec![Record { key, revision, value: None }], Source::Store),
