--- a/decision/src/fleet.rs
+++ b/decision/src/fleet.rs
@@ -66,12 +66,12 @@
     /// Ranks of the group.
     pub size: u32,
     /// Whether the group runs.
-    pub state: Standing,
+    pub state: State,
 }
 
 /// Whether a lock-step group runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum State {
     /// It begins passes.
     Open,
     /// It stands still; it forms anew in a later epoch.
--- a/decision/src/outage.rs
+++ b/decision/src/outage.rs
@@ -56,7 +56,7 @@
     /// Newest epoch that a rank tells.
     pub epoch: u64,
     /// Whether the group runs in it.
-    pub state: fleet::Standing,
+    pub state: fleet::State,
     /// Ranks that tell just this, and all that the group has.
     pub ranks: (u32, u32),
 }
@@ -71,7 +71,7 @@
             std::cmp::Ordering::Equal if self.state == other.state => {
                 News { ranks: (self.ranks.0 + other.ranks.0, self.ranks.1), ..self }
             }
-            std::cmp::Ordering::Equal if other.state == fleet::Standing::Broken => other,
+            std::cmp::Ordering::Equal if other.state == fleet::State::Broken => other,
             std::cmp::Ordering::Equal => self,
         }
     }
@@ -79,7 +79,7 @@
     /// Whether all ranks are back and know that the group is broken: it then forms
     /// anew.
     fn forming(&self) -> bool {
-        self.state == fleet::Standing::Broken && self.ranks.0 >= self.ranks.1
+        self.state == fleet::State::Broken && self.ranks.0 >= self.ranks.1
     }
 }
 
@@ -146,13 +146,13 @@
         self.forming = news.forming().then(|| self.forming.unwrap_or(now));
         let over = self.over >= Some(news.epoch);
         match news.state {
-            fleet::Standing::Broken if over => None,
-            fleet::Standing::Broken => {
+            fleet::State::Broken if over => None,
+            fleet::State::Broken => {
                 self.over = Some(news.epoch);
                 self.open(Ground::Told, now)
             }
-            fleet::Standing::Open if over || self.ground == Some(Ground::Unreached) => None,
-            fleet::Standing::Open => self.close(now),
+            fleet::State::Open if over || self.ground == Some(Ground::Unreached) => None,
+            fleet::State::Open => self.close(now),
         }
     }
 
--- a/decision/tests/outage.rs
+++ b/decision/tests/outage.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use loftcove_decision::fleet::Standing;
+use loftcove_decision::fleet::State;
 use loftcove_decision::outage::{Change, Ground, News, Outage};
 use loftcove_decision::routing::{policy, server};
 use loftcove_decision::{balancer, clock, entity};
@@ -22,11 +22,11 @@
 }
 
 const fn open(epoch: u64) -> News {
-    News { epoch, state: Standing::Open, ranks: (1, 3) }
+    News { epoch, state: State::Open, ranks: (1, 3) }
 }
 
 const fn broken(epoch: u64) -> News {
-    News { epoch, state: Standing::Broken, ranks: (1, 3) }
+    News { epoch, state: State::Broken, ranks: (1, 3) }
 }
 
 /// Gateways that probe the group in these tests.
