--- a/daemon/src/agent/keeper.rs
+++ b/daemon/src/agent/keeper.rs
@@ -139,7 +139,7 @@
     if let Some(next) = keeper.retake(&elected) {
         return Some((revision, next, "retake"));
     }
-    if let Some(home) = keeper.silent(now).into_iter().next() {
+    if let Some(home) = keeper.silent_homes(now).into_iter().next() {
         let next = keeper.take_over(&home, &elected);
         return Some((revision, next, "take-over"));
     }
@@ -164,7 +164,7 @@
         let answer = tokio::time::timeout(limit, client.renew(renewal)).await;
         if let Ok(Ok(promise)) = answer {
             let hold = Duration::from_millis(u64::from(promise.into_inner().hold_ms));
-            lock(agent).promised(&witness, hold, asked);
+            lock(agent).record_promise(&witness, hold, asked);
         }
     });
     futures_util::future::join_all(calls).await;
--- a/decision/src/home/keeper.rs
+++ b/decision/src/home/keeper.rs
@@ -268,7 +268,7 @@
     }
 
     /// A witness answered a plea that was sent at `asked`.
-    pub fn promised(&mut self, witness: &Arc<str>, hold: Duration, asked: clock::Instant) {
+    pub fn record_promise(&mut self, witness: &Arc<str>, hold: Duration, asked: clock::Instant) {
         if hold.is_zero() {
             self.promises.remove(witness);
             return;
@@ -290,7 +290,7 @@
     /// As a witness: homes that have been silent for so long that they cannot
     /// even have replaced this witness, which a home does that only lost sight
     /// of it.
-    pub fn silent(&self, now: clock::Instant) -> Vec<table::Holder> {
+    pub fn silent_homes(&self, now: clock::Instant) -> Vec<table::Holder> {
         let quiet = self.rules.lease * SILENT_LEASES;
         let silent = self.heard.iter().filter(|(_, at)| now.since(**at) > quiet);
         silent.map(|(home, _)| home.clone()).collect()
--- a/decision/src/home/table.rs
+++ b/decision/src/home/table.rs
@@ -92,7 +92,7 @@
 
 /// A witness for a slot: an elected agent other than the home, of another
 /// zone if there is one.
-pub fn witness(elected: &[Candidate], home: &str, slot: usize) -> Option<Arc<str>> {
+pub fn select_witness(elected: &[Candidate], home: &str, slot: usize) -> Option<Arc<str>> {
     let zone = elected.iter().find(|c| *c.host == *home).map(|c| &c.zone);
     let others = || elected.iter().filter(|c| *c.host != *home);
     let abroad: Vec<&Candidate> = others().filter(|c| Some(&c.zone) != zone).collect();
@@ -106,7 +106,7 @@
     pub fn found(elected: &[Candidate], slots: usize, nonce: String) -> Table {
         let entry = |slot: usize| {
             let host = elected[slot % elected.len()].host.clone();
-            let witness = witness(elected, &host, slot / elected.len());
+            let witness = select_witness(elected, &host, slot / elected.len());
             let home = Holder { host, incarnation: NO_RUN };
             Entry { home, witness, epoch: 1, way: Way::Settled }
         };
@@ -135,7 +135,7 @@
             }
             let Some(next) = home(slot, entry) else { continue };
             let kept = entry.witness.clone().filter(|host| *host != next.host);
-            let witness = witness(elected, &next.host, slot).or(kept);
+            let witness = select_witness(elected, &next.host, slot).or(kept);
             // Whoever is named with no run has granted nothing, so following
             // it adds no doubt; but earlier doubt stays.
             let unused = entry.home.incarnation == NO_RUN && next.host == entry.home.host;
@@ -168,7 +168,7 @@
                 continue;
             }
             // Without another candidate the one that is named may come back.
-            let Some(next) = witness(elected, &home.host, slot) else { continue };
+            let Some(next) = select_witness(elected, &home.host, slot) else { continue };
             changed |= entry.witness.as_ref() != Some(&next);
             entry.witness = Some(next);
         }
--- a/decision/tests/homes.rs
+++ b/decision/tests/homes.rs
@@ -146,7 +146,7 @@
                 let answered = self.now();
                 let holder = holder(home, self.agents[home].incarnation);
                 let hold = self.agents[witness].keeper.renew(&holder, answered);
-                self.agents[home].keeper.promised(&host(witness), hold, asked);
+                self.agents[home].keeper.record_promise(&host(witness), hold, asked);
             }
             Event::BeginChange(agent, change) => self.begin_change(agent, change),
             Event::EndChange(agent) => {
@@ -215,7 +215,7 @@
         }
         let next = match change {
             Change::TakeOver => {
-                let silent = keeper.silent(now).into_iter().next();
+                let silent = keeper.silent_homes(now).into_iter().next();
                 silent.map(|home| keeper.take_over(&home, &elected))
             }
             Change::Retake => keeper.retake(&elected),
