--- a/dispatch/src/lib.rs
+++ b/dispatch/src/lib.rs
@@ -57,13 +57,17 @@
     /// Name of the group.
     pub group: Arc<str>,
     /// What the rank itself tells of the group.
-    pub told: Option<fleet::Rank>,
+    pub reported: Option<fleet::Rank>,
 }
 
 impl Rank {
     fn news(&self) -> Option<outage::News> {
-        let told = self.told.as_ref()?;
-        Some(outage::News { epoch: told.epoch, state: told.state, ranks: (1, told.size) })
+        let reported = self.reported.as_ref()?;
+        Some(outage::News {
+            epoch: reported.epoch,
+            state: reported.state,
+            ranks: (1, reported.size),
+        })
     }
 }
 
@@ -348,7 +352,7 @@
     }
 
     /// Whether a backend server is listed to which this applies.
-    pub fn lists(&self, wanted: impl Fn(&T) -> bool) -> bool {
+    pub fn any_listed(&self, wanted: impl Fn(&T) -> bool) -> bool {
         let inner = self.lock();
         let listed = inner.balancer.servers().iter().filter(|(_, record)| record.listed);
         listed.into_iter().any(|(server, _)| inner.targets.get(&server).is_some_and(&wanted))
--- a/dispatch/tests/runs.rs
+++ b/dispatch/tests/runs.rs
@@ -42,13 +42,13 @@
 async fn who_started_again_has_not_left_but_ended() {
     let (first, second) = (run("a", Some(1)), run("a", Some(2)));
     let (dispatcher, server) = listed(&first).await;
-    assert!(!dispatcher.lists(|other| other.differs(&first)));
+    assert!(!dispatcher.any_listed(|other| other.differs(&first)));
     dispatcher.list(vec![listing(&second, SLOTS)]);
     assert!(!dispatcher.leaving(server));
-    assert!(dispatcher.lists(|other| other.differs(&first)));
+    assert!(dispatcher.any_listed(|other| other.differs(&first)));
     // What is off the list is not found.
     dispatcher.list(vec![listing(&run("b", Some(1)), SLOTS)]);
-    assert!(!dispatcher.lists(|other| *other == second));
+    assert!(!dispatcher.any_listed(|other| *other == second));
 }
 
 /// The pattern: a server starts again under its id and says that it leaves, before
--- a/gateway/src/ended.rs
+++ b/gateway/src/ended.rs
@@ -84,7 +84,8 @@
 
 /// Whether the run takes connections, and no other one has its address.
 async fn lives(dispatcher: &dispatch::Dispatcher<Target>, target: &Target) -> bool {
-    let replaced = dispatcher
-        .lists(|other: &Target| other.address == target.address && other.run.differs(&target.run));
+    let replaced = dispatcher.any_listed(|other: &Target| {
+        other.address == target.address && other.run.differs(&target.run)
+    });
     !replaced && upstream::reaches(target.address).await
 }
--- a/gateway/src/state.rs
+++ b/gateway/src/state.rs
@@ -170,14 +170,16 @@
         };
         let groups = self.groups();
         let rank = |server: &fleet::Server| match &server.rank {
-            Some(rank) => dispatch::Rank { group: rank.group.clone(), told: Some(rank.clone()) },
+            Some(rank) => {
+                dispatch::Rank { group: rank.group.clone(), reported: Some(rank.clone()) }
+            }
             None => {
                 let known = groups.get(&server.address);
                 let known = known.filter(|(service, _)| *service == server.service);
                 // Until its members are known, a service counts as one group.
                 let group =
                     known.map_or_else(|| server.service.clone(), |(_, group)| group.clone());
-                dispatch::Rank { group, told: None }
+                dispatch::Rank { group, reported: None }
             }
         };
         let cold = |server: &fleet::Server, until: boot::Instant| {
