--- a/decision/src/clock.rs
+++ b/decision/src/clock.rs
@@ -1,9 +1,9 @@
-//! Points in time, handed in by the caller.
+//! Points in time, which the caller supplies.
 
 use std::fmt;
 use std::time::Duration;
 
-/// A point of the process's monotonic clock, microseconds from any origin.
+/// A point in time of the process's monotonic clock, in microseconds after an arbitrary origin.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub struct Instant(u64);
 
@@ -11,27 +11,27 @@
     /// The origin.
     pub const ZERO: Instant = Instant(0);
 
-    /// The point that many microseconds after the origin.
+    /// Returns the point in time `micros` microseconds after the origin.
     pub const fn from_micros(micros: u64) -> Instant {
         Instant(micros)
     }
 
-    /// The point that many milliseconds after the origin.
+    /// Returns the point in time `millis` milliseconds after the origin.
     pub const fn from_millis(millis: u64) -> Instant {
         Instant(millis * 1_000)
     }
 
-    /// Microseconds after the origin.
+    /// Returns the number of microseconds after the origin.
     pub const fn micros(self) -> u64 {
         self.0
     }
 
-    /// The moment that long before this one, no earlier than the origin.
+    /// Returns the point in time `span` before this one, or the origin if that would be earlier.
     pub fn saturating_sub(self, span: Duration) -> Instant {
         Instant(self.0.saturating_sub(span.as_micros() as u64))
     }
 
-    /// Time from `earlier` to this point; zero where `earlier` is later.
+    /// Returns the time from `earlier` to this point, or zero if `earlier` is later.
     pub fn since(self, earlier: Instant) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
@@ -51,8 +51,9 @@
     }
 }
 
-/// A point of the hosts' wall clocks, milliseconds since the Unix epoch.
-/// Two hosts' clocks differ by no more than the settings' bound.
+/// A point in time of a host's wall clock, in milliseconds since the Unix epoch.
+///
+/// The clocks of two hosts differ by no more than the configured bound on skew.
 #[derive(
     Debug,
     Clone,
@@ -69,17 +70,18 @@
 pub struct Wall(u64);
 
 impl Wall {
-    /// The point that many milliseconds after the Unix epoch.
+    /// Returns the point in time `millis` milliseconds after the Unix epoch.
     pub const fn from_millis(millis: u64) -> Wall {
         Wall(millis)
     }
 
-    /// Milliseconds since the Unix epoch.
+    /// Returns the number of milliseconds since the Unix epoch.
     pub const fn millis(self) -> u64 {
         self.0
     }
 
-    /// The point that much earlier; the Unix epoch where it would lie before.
+    /// Returns the point in time `span` before this one, or the Unix epoch if that would be
+    /// earlier.
     pub fn saturating_sub(self, span: Duration) -> Wall {
         Wall(self.0.saturating_sub(span.as_millis() as u64))
     }
--- a/decision/src/entity.rs
+++ b/decision/src/entity.rs
@@ -1,4 +1,4 @@
-//! Small ids of what the decisions are about; dense maps are keyed by them.
+//! Small integer ids of the entities that decisions concern. Dense maps use them as keys.
 
 use cranelift_entity::entity_impl;
 
@@ -7,8 +7,8 @@
 pub struct Server(u32);
 entity_impl!(Server, "server");
 
-/// A pool of backend servers that answer the same requests: those of one
-/// model, or of one plain service.
+/// A pool of backend servers that can answer the same requests: those of one model or of one plain
+/// service.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Pool(u32);
 entity_impl!(Pool, "pool");
@@ -18,12 +18,12 @@
 pub struct Group(u32);
 entity_impl!(Group, "group");
 
-/// A team, the callers' side.
+/// A team, to which clients belong.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Team(u32);
 entity_impl!(Team, "team");
 
-/// A request that this process is deciding about.
+/// A request for which this process makes decisions.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(u32);
 entity_impl!(Ticket, "ticket");
--- a/decision/src/fleet.rs
+++ b/decision/src/fleet.rs
@@ -1,36 +1,41 @@
-//! Backend servers as the platform's discovery lists them.
+//! Backend servers as listed by the platform's service discovery.
+//!
+//! A *run* of a backend server lasts from one start to its *end*, when its process exits or
+//! crashes. A *rank* is the place of a backend server in a lock-step group.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A backend server. One that starts again under its id is another run: it
-/// knows nothing of what the earlier one was told or did.
+/// A backend server.
+///
+/// A server that restarts under the same id is another run: it has no knowledge of what the earlier
+/// run received or did.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Server {
-    /// Its id.
+    /// Id, which stays the same across restarts.
     pub id: Arc<str>,
-    /// When its run started, Unix milliseconds; none where the platform does
-    /// not tell, and the id alone names the run.
+    /// When its run started, in Unix milliseconds. If the platform does not provide it, the id
+    /// alone identifies the run.
     pub born: Option<u64>,
     /// Service that it belongs to.
     pub service: Arc<str>,
-    /// Where it takes requests.
+    /// Address at which it accepts requests.
     pub address: SocketAddr,
     /// Availability zone.
     pub zone: Arc<str>,
-    /// Requests that it runs at a time.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
-    /// How much longer it was slow when its entry was written.
+    /// Remaining warm-up time when its entry was written, during which it is slow.
     pub cold: Duration,
-    /// Whether it is about to leave and must get nothing new.
+    /// Whether it is about to leave and must not receive new requests.
     pub draining: bool,
-    /// Its place in a lock-step group, if it tells one.
+    /// Place in a lock-step group, if the server reports one.
     pub rank: Option<Rank>,
 }
 
 impl Server {
-    /// The run that the entry is of.
+    /// Returns the run that the entry describes.
     pub fn run(&self) -> Run {
         Run { id: self.id.clone(), born: self.born }
     }
@@ -41,39 +46,39 @@
 pub struct Run {
     /// Id of the backend server.
     pub id: Arc<str>,
-    /// When it started, Unix milliseconds, as far as that is told.
+    /// When it started, in Unix milliseconds, if known.
     pub born: Option<u64>,
 }
 
 impl Run {
-    /// Whether this is another run than `earlier`, as far as both tell: where one
-    /// does not tell its start, the id alone names it.
+    /// Returns whether this is another run than `earlier`. If the start of either run is unknown,
+    /// only the ids are compared.
     pub fn differs(&self, earlier: &Run) -> bool {
         let starts = (self.born, earlier.born);
         self.id != earlier.id || matches!(starts, (Some(own), Some(other)) if own != other)
     }
 }
 
-/// A backend server's place in a lock-step group, as it last told it.
+/// A backend server's place in a lock-step group, as last reported by the server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Rank {
     /// Name of the group.
     pub group: Arc<str>,
-    /// Rises each time that the group forms anew.
+    /// Number that increases each time the group forms again.
     pub epoch: u64,
-    /// The rank, below `size`.
+    /// Number of the rank, below `size`.
     pub rank: u32,
-    /// Ranks of the group.
+    /// Number of ranks in the group.
     pub size: u32,
-    /// Whether the group runs.
+    /// Whether the group is available.
     pub state: State,
 }
 
-/// Whether a lock-step group runs.
+/// Whether a lock-step group is available.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum State {
-    /// It begins passes.
+    /// The group begins passes.
     Open,
-    /// It stands still; it forms anew in a later epoch.
+    /// The group begins no passes in this epoch. It forms again in a later one.
     Broken,
 }
--- a/decision/src/lib.rs
+++ b/decision/src/lib.rs
@@ -1,20 +1,19 @@
-//! The decisions of loftcove, without I/O.
+//! Decision logic of loftcove, without I/O.
 //!
-//! Every module here is a state machine or a pass over one: events and the
-//! present time go in, actions come out. Nothing reads a clock, a socket or
-//! ambient randomness, and nothing iterates over an unordered map, so a run
-//! with the same seed and events gives the same decisions. The daemon feeds
-//! these machines from its sockets; tests, benches and a simulation feed them
+//! Each module is a state machine or a computation over one. Its inputs are events and the present
+//! time, its outputs are actions. No module reads a clock, a socket or ambient randomness or
+//! iterates over an unordered map, so the same seed and events always give the same decisions. The
+//! daemon drives the state machines from its sockets. Tests, benchmarks and a simulation drive them
 //! directly.
 //!
-//! - A request's way: [`balancer`] joins [`admission`] (who goes first),
-//!   [`routing`] (which backend server), [`limit`] (how many at a time) and
-//!   [`retry`] (whether again). [`poison`] counts the backend servers that end
-//!   under a request, over all its tries. [`attempt`] is the agent's side.
-//! - An idempotency key's way: [`home`].
-//! - A bundle's way: [`generation`].
-//! - An expert map's way: [`placement`] decides it, [`map`] brings it in force.
-//! - A process's life: [`lifecycle`].
+//! - Requests: [`balancer`] combines [`admission`] (order of requests), [`routing`] (selection of a
+//!   backend server), [`limit`] (concurrency) and [`retry`] (retries). [`poison`] counts the
+//!   backend servers that end while they run a request, over all its attempts. [`attempt`] is the
+//!   agent's side.
+//! - Idempotency keys: [`home`].
+//! - Configuration bundles: [`generation`].
+//! - Expert maps: [`placement`] computes them, [`map`] activates them.
+//! - Process lifecycle: [`lifecycle`].
 
 pub mod admission;
 pub mod attempt;
--- a/decision/src/mirror.rs
+++ b/decision/src/mirror.rs
@@ -1,13 +1,16 @@
-//! A copy of a part of the store that processes pass on to one another.
+//! A partial copy of the store that processes replicate to one another.
 //!
-//! Each key has its newest known value or the mark that it was removed, with
-//! the store's revision. Whoever tells of a key, the higher revision wins, so
-//! what arrives late or twice does no harm. Revisions of a later era of the store are
-//! higher than all before: what it lost is no longer there. A removal that is learnt just
-//! after the store was away is first only suspected: entries lapse while their
-//! owners cannot renew them, and come back. It takes effect if the key has not
-//! come back by then. Suspected removals are not passed on. Older values that the store came
-//! back with are held in the same way, until their owners have written again.
+//! Each key has its newest known value or a tombstone, with the store's revision. The higher
+//! revision wins, whichever peer sent the record, so late and duplicate records are harmless. The
+//! store begins a new *era* when it loses a part of its history (see [`crate::revision`]).
+//! Revisions of a later era are higher than all revisions of earlier eras, as the changes that the
+//! store lost no longer exist.
+//!
+//! A removal that is received just after an outage of the store is only suspected at first: entries
+//! expire while their owners cannot renew them, and are then written again. A suspected removal
+//! takes effect at a given time unless the key was written again by then. Suspected removals are
+//! not replicated. Outdated values that the store returns after a loss are deferred in the same
+//! way, so that their owners can write again first.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -18,18 +21,18 @@
 use crate::clock;
 use crate::revision::Revision;
 
-/// How long a removal is kept, so that an older value does not bring the key
-/// back. Longer than any process can be behind its peers.
+/// Time for which a tombstone is kept, so that an older value does not restore the key. Longer than
+/// any process can lag behind its peers.
 const TOMBSTONE_TIME: Duration = Duration::from_secs(120);
 
-/// What is known of a key at a revision.
+/// State of a key at a revision.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Record {
     /// The key.
     pub key: Arc<str>,
     /// Revision of the write or removal.
     pub revision: Revision,
-    /// The value; `None` where the key was removed.
+    /// The value; `None` if the key was removed.
     pub value: Option<Bytes>,
 }
 
@@ -37,32 +40,34 @@
 struct Entry {
     revision: Revision,
     value: Option<Bytes>,
-    /// When the removal was learnt.
+    /// When the record was applied. For a tombstone, its age counts from here.
     removed: clock::Instant,
 }
 
-/// The copy.
+/// A partial copy of the store.
 #[derive(Debug, Default)]
 pub struct Mirror {
     entries: BTreeMap<Arc<str>, Entry>,
-    /// Revision of a suspected removal, and when it takes effect.
+    /// Revision of each suspected removal, and when it takes effect.
     suspected: BTreeMap<Arc<str>, (Revision, clock::Instant)>,
-    /// Values of a later era that contradict what was known, and when they take effect.
-    held: BTreeMap<Arc<str>, (Record, clock::Instant)>,
-    /// Revision of the last listing of each prefix.
+    /// Values of a later era that contradict the known record, and when they take effect.
+    deferred: BTreeMap<Arc<str>, (Record, clock::Instant)>,
+    /// Revision of the last complete listing of each prefix.
     listed: BTreeMap<Arc<str>, Revision>,
 }
 
 impl Mirror {
-    /// Takes a record. Returns whether it was news: not where a listing showed later
-    /// what had become of it, which a peer may not know yet.
+    /// Applies a record. Returns whether it was newer than the known one. A record that is not
+    /// newer than a complete listing of its prefix is stale, which the peer that sent it may not
+    /// know yet.
     pub fn apply(&mut self, record: &Record, now: clock::Instant) -> bool {
         let listed = self.listed.iter().filter(|(prefix, _)| record.key.starts_with(&***prefix));
         let stale = listed.into_iter().any(|(_, revision)| record.revision <= *revision);
         !stale && self.insert(record, now)
     }
 
-    /// A listing of a prefix was taken whole: its items, and what it lacked.
+    /// Records that a listing of a prefix was applied completely: its items, and the removal of the
+    /// keys that it lacked.
     pub fn set_listed(&mut self, prefix: &str, revision: Revision) {
         self.listed.insert(prefix.into(), revision);
     }
@@ -75,35 +80,39 @@
         if self.suspected.get(&record.key).is_some_and(|(at, _)| *at <= record.revision) {
             self.suspected.remove(&record.key);
         }
-        if self.held.get(&record.key).is_some_and(|(held, _)| held.revision <= record.revision) {
-            self.held.remove(&record.key);
+        if self
+            .deferred
+            .get(&record.key)
+            .is_some_and(|(value, _)| value.revision <= record.revision)
+        {
+            self.deferred.remove(&record.key);
         }
         let entry = Entry { revision: record.revision, value: record.value.clone(), removed: now };
         self.entries.insert(record.key.clone(), entry);
         true
     }
 
-    /// Notes that a key may have been removed, which takes effect at `due`
-    /// unless the key is written again.
+    /// Records that a key may have been removed. The removal takes effect at `due` unless the key
+    /// is written again.
     pub fn suspect_removal(&mut self, key: &Arc<str>, revision: Revision, due: clock::Instant) {
-        // What a listing before had is gone, too.
-        self.held.retain(|held, (record, _)| held != key || record.revision > revision);
+        // A deferred value from an earlier listing was removed as well.
+        self.deferred.retain(|other, (record, _)| other != key || record.revision > revision);
         let live =
             self.entries.get(key).is_some_and(|e| e.value.is_some() && e.revision < revision);
         if live {
             let suspected = self.suspected.entry(key.clone()).or_insert((revision, due));
-            // Owners need the time again in each era.
+            // Owners need the whole time again in each era.
             if suspected.0.era < revision.era {
                 suspected.1 = due;
             }
-            // What a peer tells of the time between is gone as well.
+            // A record that a peer sends for a revision in between was removed as well.
             suspected.0 = suspected.0.max(revision);
         }
     }
 
-    /// Holds a value of a later era that contradicts what is known, as the key had been
-    /// removed, or, with `changed`, had another value: it takes effect at `due` unless
-    /// the key is written again. Returns whether it is held.
+    /// Defers a value of a later era that contradicts the known record: the key had been removed,
+    /// or, with `changed`, had another value. The value takes effect at `due` unless the key is
+    /// written again. Returns whether it was deferred.
     pub fn defer(&mut self, record: &Record, due: clock::Instant, changed: bool) -> bool {
         let Some(known) = self.entries.get(&record.key) else { return false };
         let later = known.revision.era < record.revision.era;
@@ -111,25 +120,25 @@
         if !later || !(returned || changed && known.value != record.value) {
             return false;
         }
-        let before = self.held.get(&record.key);
-        let same = before.filter(|(held, _)| held.revision.era == record.revision.era);
+        let before = self.deferred.get(&record.key);
+        let same = before.filter(|(value, _)| value.revision.era == record.revision.era);
         let due = same.map_or(due, |(_, first)| *first);
-        self.held.insert(record.key.clone(), (record.clone(), due));
+        self.deferred.insert(record.key.clone(), (record.clone(), due));
         true
     }
 
-    /// Keys below a prefix that have a value older than `revision`, or a held one, and are not
-    /// among `listed`, with the revision at which they were missing.
+    /// Returns the keys under a prefix that are missing from `listed`, a listing at `revision`.
+    /// They have a value that is not newer than `revision`, or a deferred value.
     pub fn missing(&self, prefix: &str, listed: &[Arc<str>], revision: Revision) -> Vec<Arc<str>> {
         let below = self.below(prefix).filter(|record| record.revision <= revision);
-        let held = self.held.keys().filter(|key| key.starts_with(prefix));
+        let deferred = self.deferred.keys().filter(|key| key.starts_with(prefix));
         let known: BTreeSet<Arc<str>> =
-            below.map(|record| record.key).chain(held.cloned()).collect();
+            below.map(|record| record.key).chain(deferred.cloned()).collect();
         known.into_iter().filter(|key| !listed.contains(key)).collect()
     }
 
-    /// Lets suspected removals and held values take effect whose time has come, and
-    /// forgets old removals. Returns what took effect.
+    /// Applies the suspected removals and deferred values that are due at `now`, and drops expired
+    /// tombstones. Returns the records that took effect.
     pub fn expire(&mut self, now: clock::Instant) -> Vec<Record> {
         let removed: Vec<Record> = self
             .suspected
@@ -141,13 +150,13 @@
                 value: None,
             })
             .collect();
-        let held = self.held.values().filter(|(_, due)| *due <= now);
+        let deferred = self.deferred.values().filter(|(_, due)| *due <= now);
         let mut due: Vec<Record> =
-            removed.into_iter().chain(held.map(|(record, _)| record.clone())).collect();
+            removed.into_iter().chain(deferred.map(|(record, _)| record.clone())).collect();
         due.retain(|record| {
             match record.value {
                 None => drop(self.suspected.remove(&record.key)),
-                Some(_) => drop(self.held.remove(&record.key)),
+                Some(_) => drop(self.deferred.remove(&record.key)),
             }
             self.insert(record, now)
         });
@@ -156,13 +165,13 @@
         due
     }
 
-    /// When the next suspected removal or held value takes effect.
+    /// Returns when the next suspected removal or deferred value takes effect.
     pub fn next_expiry(&self) -> Option<clock::Instant> {
-        let held = self.held.values().map(|(_, due)| *due);
-        self.suspected.values().map(|(_, due)| *due).chain(held).min()
+        let deferred = self.deferred.values().map(|(_, due)| *due);
+        self.suspected.values().map(|(_, due)| *due).chain(deferred).min()
     }
 
-    /// All records, removals included, in the order of their keys.
+    /// Returns all records, tombstones included, in key order.
     pub fn records(&self) -> impl Iterator<Item = Record> {
         self.entries.iter().map(|(key, entry)| Record {
             key: key.clone(),
@@ -171,7 +180,7 @@
         })
     }
 
-    /// Records below a prefix that have a value.
+    /// Returns the records under a prefix that have a value, in key order.
     pub fn below<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = Record> + 'a {
         let from = self
             .entries
@@ -184,24 +193,24 @@
         })
     }
 
-    /// A key that has a value.
+    /// Returns the record of a key, if it has a value.
     pub fn record(&self, key: &str) -> Option<Record> {
         self.below(key).next().filter(|record| *record.key == *key)
     }
 
-    /// What is known of a key, a removal included.
+    /// Returns the newest known record of a key, which may be a tombstone.
     pub fn newest_of(&self, key: &str) -> Option<Record> {
         let (key, entry) = self.entries.get_key_value(key)?;
         let (revision, value) = (entry.revision, entry.value.clone());
         Some(Record { key: key.clone(), revision, value })
     }
 
-    /// The value of a key.
+    /// Returns the value of a key.
     pub fn get(&self, key: &str) -> Option<&Bytes> {
         self.entries.get(key).and_then(|entry| entry.value.as_ref())
     }
 
-    /// Revision of the newest record below a prefix.
+    /// Returns the highest revision of the records under a prefix, tombstones included.
     pub fn newest_revision(&self, prefix: &str) -> Revision {
         let below = self.entries.iter().filter(|(key, _)| key.starts_with(prefix));
         below.map(|(_, entry)| entry.revision).max().unwrap_or_default()
--- a/decision/src/name.rs
+++ b/decision/src/name.rs
@@ -1,11 +1,11 @@
-//! Names turned into small ids and back.
+//! Interning of names as small integer ids.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 use cranelift_entity::{EntityRef, PrimaryMap};
 
-/// Gives each name an id, which it keeps for the life of the table.
+/// A table of names and their ids. A name keeps its id for the lifetime of the table.
 #[derive(Debug, Clone)]
 pub struct Table<E: EntityRef> {
     ids: BTreeMap<Arc<str>, E>,
@@ -19,7 +19,7 @@
 }
 
 impl<E: EntityRef> Table<E> {
-    /// The id of the name, a new one if the name is new.
+    /// Returns the id of a name, and assigns one if the name is new.
     pub fn intern(&mut self, name: &Arc<str>) -> E {
         if let Some(id) = self.ids.get(name) {
             return *id;
@@ -29,12 +29,12 @@
         id
     }
 
-    /// The id of a known name.
+    /// Returns the id of a name, if it is in the table.
     pub fn get(&self, name: &str) -> Option<E> {
         self.ids.get(name).copied()
     }
 
-    /// The name of an id.
+    /// Returns the name of an id.
     pub fn name(&self, id: E) -> &Arc<str> {
         &self.names[id]
     }
