--- a/dispatch/src/lib.rs
+++ b/dispatch/src/lib.rs
@@ -1,9 +1,12 @@
-//! The balancer behind a lock, and the requests that wait for it.
+//! A lock around the balancer, and the requests that wait for its decisions.
 //!
-//! A [`Dispatcher`] takes requests and gives each a [`Permit`], which tells
-//! what to do next with the request: send an attempt to a backend server, or
-//! give the final answer. All decisions are those of `loftcove-decision`; this
-//! crate adds the lock, the clock and the waking of whoever waits.
+//! A [`Dispatcher`] accepts requests and returns a [`Permit`] for each, which yields the next step
+//! of the request: send an attempt to a backend server, or send the final answer.
+//! `loftcove-decision` makes all decisions. This crate adds the lock, the clock and the wake-ups of
+//! waiting tasks.
+//!
+//! A backend server *rests* while it receives no requests because it asked for a pause. It *leaves*
+//! when it accepts no new requests before the end of its run.
 
 mod permit;
 
@@ -19,35 +22,36 @@
 
 pub use permit::Permit;
 
-/// Candidates looked at by one choice; see `docs/design/routing.md`.
+/// Number of candidates that one selection compares; see `docs/design/routing.md`.
 const SAMPLE: usize = 2;
-/// Engines keep no prompt beyond its request, so that none is preferred.
+/// Engines keep no prompt after its request, so no backend server is preferred for a prefix.
 const NO_PREFIX: u64 = 0;
-/// Time between two looks for requests that have waited too long.
+/// Interval between two checks for requests that have waited too long.
 const TICK: Duration = Duration::from_millis(10);
 
-/// A backend server to be listed, with what the caller needs to reach it.
+/// An entry of the list of backend servers, with the caller's target.
 #[derive(Debug, Clone)]
 pub struct Listing<T> {
     /// Run of the backend server.
     pub run: fleet::Run,
     /// Pool that it belongs to.
     pub pool: Arc<str>,
-    /// Its place in a lock-step group, if it is a rank of one.
+    /// Place in a lock-step group, if the server is a rank of one.
     pub rank: Option<Rank>,
-    /// Its availability zone.
+    /// Availability zone.
     pub zone: Arc<str>,
-    /// Whether that is this host's own.
+    /// Whether the availability zone is that of this host.
     pub local: bool,
-    /// Whether it is leaving.
+    /// Whether the server is leaving.
     pub leaving: bool,
-    /// Whether its availability zone is drained.
+    /// Whether the server's availability zone is drained.
     pub drained: bool,
-    /// Until when it is cold, and how many requests a second it can serve until then.
+    /// End of the warm-up, and the rate in requests per second that the server can serve until
+    /// then.
     pub cold: Option<(boot::Instant, f64)>,
-    /// Requests that it takes at a time from everybody together.
+    /// Number of requests that the server accepts concurrently from all gateways together.
     pub slots: u32,
-    /// What the caller needs to reach it.
+    /// The caller's data for reaching the server.
     pub target: T,
 }
 
@@ -56,7 +60,7 @@
 pub struct Rank {
     /// Name of the group.
     pub group: Arc<str>,
-    /// What the rank itself tells of the group.
+    /// State of the group as the rank itself reports it.
     pub reported: Option<fleet::Rank>,
 }
 
@@ -71,63 +75,63 @@
     }
 }
 
-/// A request that arrives.
+/// An arriving request.
 #[derive(Debug, Clone)]
 pub struct Arrival {
-    /// Pool that can answer it.
+    /// Pool of backend servers that can answer the request.
     pub pool: Arc<str>,
-    /// Team that sent it.
+    /// Team that sent the request.
     pub team: Arc<str>,
-    /// Urgency; 0 goes first.
+    /// Precedence; 0 is dispatched first.
     pub precedence: u32,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// Whether another backend server may go on with a begun answer.
+    /// Whether another backend server may continue an answer that has begun.
     pub resumable: bool,
-    /// Backend servers that may run it at the most.
+    /// Maximum number of backend servers that may run the request.
     pub max_attempts: u32,
-    /// When its answer is due.
+    /// Deadline of the answer.
     pub due: boot::Instant,
-    /// By when its answer should begin.
+    /// Time by which the answer should begin.
     pub begin_by: boot::Instant,
-    /// What it is, if it may have ended a backend server.
+    /// Digest of the request, if it is suspected of having ended a backend server.
     pub suspect: Option<poison::Digest>,
 }
 
-/// What to do next with a request.
+/// Next step of a request.
 #[derive(Debug, Clone)]
 pub enum Next<T> {
-    /// Send an attempt.
+    /// Send an attempt to a backend server.
     Send(Attempt<T>),
-    /// Give the final answer.
+    /// Reject the request, which is the final answer.
     Refuse(balancer::Refusal),
 }
 
-/// An attempt to be sent.
+/// An attempt to send.
 #[derive(Debug, Clone)]
 pub struct Attempt<T> {
-    /// Its number, from 1.
+    /// Number of the attempt, from 1.
     pub number: u32,
-    /// Where it goes.
+    /// Backend server that was selected.
     pub server: entity::Server,
-    /// What the caller needs to reach it.
+    /// The caller's data for reaching the server.
     pub target: T,
-    /// Why the choice fell on it.
+    /// Reason for the selection.
     pub reason: policy::Reason,
-    /// Backend servers that were open.
+    /// Number of backend servers that were open for selection.
     pub open: usize,
-    /// Load of the chosen one, relative to its slots.
+    /// Load of the selected server, relative to its slots.
     pub score: f64,
-    /// Ids of some that rest or leave, by what they said themselves.
+    /// Ids of some backend servers that were skipped because they reported that they rest or leave.
     pub passed_over: Vec<Arc<str>>,
-    /// When it was chosen.
+    /// Time of the selection.
     pub at: clock::Instant,
 }
 
-/// The balancer behind a lock.
+/// A balancer behind a lock.
 pub struct Dispatcher<T> {
     origin: boot::Instant,
-    waited: Notify,
+    has_waiting: Notify,
     outage: Arc<Notify>,
     unsettled: Arc<Notify>,
     inner: Mutex<Inner<T>>,
@@ -141,14 +145,14 @@
     targets: BTreeMap<entity::Server, T>,
     waiting: BTreeMap<entity::Ticket, mpsc::UnboundedSender<Next<T>>>,
     sequence: u64,
-    /// Wakes whoever looks for groups out of reach.
+    /// Wakes the task that checks unreachable groups.
     outage: Arc<Notify>,
-    /// Wakes whoever settles which backend servers leave.
+    /// Wakes the task that determines which backend servers leave.
     unsettled: Arc<Notify>,
 }
 
 impl<T: Clone + Send> Dispatcher<T> {
-    /// A dispatcher without backend servers.
+    /// Creates a dispatcher without backend servers.
     pub fn new(options: &balancer::Options) -> Dispatcher<T> {
         let rng = rand_chacha::ChaCha8Rng::seed_from_u64(rand::random());
         let policy = policy::Blend { rng, sample: SAMPLE, affinity_slack: 0.0 };
@@ -164,12 +168,13 @@
             outage: outage.clone(),
             unsettled: unsettled.clone(),
         };
-        let (origin, waited) = (boot::Instant::now(), Notify::new());
-        Dispatcher { origin, waited, outage, unsettled, inner: Mutex::new(inner) }
+        let (origin, has_waiting) = (boot::Instant::now(), Notify::new());
+        Dispatcher { origin, has_waiting, outage, unsettled, inner: Mutex::new(inner) }
     }
 
     fn lock(&self) -> MutexGuard<'_, Inner<T>> {
-        // A panic elsewhere is a fault of its own; the tables stay whole.
+        // A panic in another thread is reported there. The tables stay consistent, so the poisoned
+        // lock can be used.
         self.inner.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
@@ -212,12 +217,12 @@
         inner.route(actions);
     }
 
-    /// Sets the retries that may be saved up.
+    /// Sets the number of retries that the retry budget may accumulate.
     pub fn set_reserve(&self, reserve: f64) {
         self.lock().balancer.set_reserve(reserve);
     }
 
-    /// A backend server told its load.
+    /// Applies the load that a backend server reported.
     pub fn report(&self, server: entity::Server, load: server::Load) {
         let now = self.now();
         let mut inner = self.lock();
@@ -226,21 +231,21 @@
         inner.route(actions);
     }
 
-    /// Sets what a pass of a pool's lock-step groups costs.
+    /// Sets the cost of a pass of a pool's lock-step groups.
     pub fn set_cost(&self, pool: &Arc<str>, cost: pass::Cost) {
         let mut inner = self.lock();
         let id = inner.pools.intern(pool);
         inner.balancer.set_cost(id, cost);
     }
 
-    /// Sets how long a pool's lock-step groups take to form.
+    /// Sets the time that a pool's lock-step groups need to form.
     pub fn set_form(&self, pool: &Arc<str>, time: Duration) {
         let mut inner = self.lock();
         let id = inner.pools.intern(pool);
         inner.balancer.set_form(id, time);
     }
 
-    /// Sets this gateway's place among those that share the backend servers.
+    /// Sets this gateway's place among the gateways that share the backend servers.
     pub fn set_share_of_servers(&self, share: balancer::Share) {
         self.lock().balancer.set_share_of_servers(share);
     }
@@ -253,8 +258,8 @@
         inner.route(actions);
     }
 
-    /// A backend server turned out to be another run than the listed one:
-    /// nothing is sent there until the list has it again.
+    /// Marks a backend server as another run than the listed one. It receives no requests until the
+    /// server is listed again.
     pub fn unlist(&self, server: entity::Server) {
         let now = self.now();
         let mut inner = self.lock();
@@ -262,8 +267,8 @@
         inner.route(actions);
     }
 
-    /// An answer of a backend server said something of its own near future.
-    /// Returns what has changed by it.
+    /// Applies a notice that a backend server sent in an answer: that it rests or leaves. Returns
+    /// the resulting change.
     pub fn notice(
         &self,
         server: entity::Server,
@@ -276,8 +281,8 @@
         change
     }
 
-    /// The answer to a request that was chosen for a backend server at `chosen` said
-    /// something of the server's rate limit. Returns what has changed by it.
+    /// Applies a notice about a backend server's rate limit. It was in the answer to a request for
+    /// which the server was selected at `chosen`. Returns the resulting change.
     pub fn limit(
         &self,
         server: entity::Server,
@@ -291,8 +296,8 @@
         change
     }
 
-    /// Another gateway found that a run's rate limit is lifted. Returns for how long one
-    /// was in force here.
+    /// Lifts a run's rate limit, which another gateway has found to be lifted. Returns how long a
+    /// limit was in force here.
     pub fn lift(&self, run: &fleet::Run) -> Option<Duration> {
         let now = self.now();
         let mut inner = self.lock();
@@ -301,28 +306,31 @@
         time
     }
 
-    /// Listed backend servers that name a rate limit.
+    /// Returns the number of listed backend servers that report a rate limit.
     pub fn limited(&self) -> usize {
         self.lock().balancer.limited()
     }
 
-    /// How often this gateway may send to a backend server that names a rate limit.
+    /// Returns the rate at which this gateway may send to a backend server that reports a rate
+    /// limit.
     pub fn pace(&self, server: entity::Server) -> Option<rate::Pace> {
         self.lock().balancer.servers()[server].quota.map(|quota| quota.pace())
     }
 
-    /// Whether a backend server that was chosen then still wants what is to be sent now.
+    /// Returns whether an attempt for which a backend server was selected at `chosen` may still be
+    /// sent to it now.
     pub fn wants(&self, server: entity::Server, chosen: clock::Instant) -> bool {
         self.lock().balancer.wants(server, chosen, self.now())
     }
 
-    /// Backend servers that rest, and listed ones that have told that they leave.
+    /// Returns the number of backend servers that rest, and of listed ones that reported that they
+    /// leave.
     pub fn noticed(&self) -> (usize, usize) {
         self.lock().balancer.noticed(self.now())
     }
 
-    /// Waits until it is uncertain of some backend servers whether they leave; returns
-    /// them with what is needed to reach them.
+    /// Waits until it is uncertain whether some backend servers leave. Returns them with their
+    /// targets.
     pub async fn unsettled(&self) -> Vec<(entity::Server, T)> {
         loop {
             let unsettled = self.lock().unsettled();
@@ -333,7 +341,7 @@
         }
     }
 
-    /// A backend server was found to leave, or not to.
+    /// Records whether a backend server leaves, which was uncertain.
     pub fn settle(&self, server: entity::Server, leaving: bool) {
         let now = self.now();
         let mut inner = self.lock();
@@ -341,8 +349,8 @@
         inner.route(actions);
     }
 
-    /// Whether a backend server is leaving, or has left the list. One that has
-    /// started again has not: its earlier run ended.
+    /// Returns whether a backend server is leaving or is no longer listed. A server that restarted
+    /// has not left: its earlier run ended.
     pub fn leaving(&self, server: entity::Server) -> bool {
         let inner = self.lock();
         let servers = inner.balancer.servers();
@@ -351,14 +359,14 @@
         record.leaving() || !record.listed && newest
     }
 
-    /// Whether a backend server is listed to which this applies.
+    /// Returns whether a listed backend server's target satisfies `wanted`.
     pub fn any_listed(&self, wanted: impl Fn(&T) -> bool) -> bool {
         let inner = self.lock();
         let listed = inner.balancer.servers().iter().filter(|(_, record)| record.listed);
         listed.into_iter().any(|(server, _)| inner.targets.get(&server).is_some_and(&wanted))
     }
 
-    /// Waits until groups are out of reach; returns the ranks of each.
+    /// Waits until groups are unreachable. Returns them with the targets of their ranks.
     pub async fn out_of_reach(&self) -> Vec<(entity::Group, Vec<T>)> {
         loop {
             let groups = self.lock().out_of_reach();
@@ -369,7 +377,7 @@
         }
     }
 
-    /// A connection to a rank of a group that was out of reach came about.
+    /// Records that a connection to a rank of an unreachable group was established.
     pub fn reached(&self, group: entity::Group) {
         let now = self.now();
         let mut inner = self.lock();
@@ -377,7 +385,7 @@
         inner.route(actions);
     }
 
-    /// A request arrives; the permit tells what to do with it.
+    /// Accepts an arriving request. The permit yields its next steps.
     pub fn arrive(self: &Arc<Dispatcher<T>>, arrival: &Arrival) -> Permit<T> {
         let now = self.now();
         let (sender, receiver) = mpsc::unbounded_channel();
@@ -401,7 +409,7 @@
         let waiting = inner.balancer.queue().waiting() > 0;
         drop(inner);
         if waiting {
-            self.waited.notify_one();
+            self.has_waiting.notify_one();
         }
         Permit::new(self.clone(), ticket, receiver)
     }
@@ -414,7 +422,7 @@
         let waiting = inner.balancer.queue().waiting() > 0;
         drop(inner);
         if waiting {
-            self.waited.notify_one();
+            self.has_waiting.notify_one();
         }
     }
 
@@ -432,25 +440,26 @@
         inner.route(Vec::new());
     }
 
-    fn forget(&self, ticket: entity::Ticket) {
+    fn remove_waiter(&self, ticket: entity::Ticket) {
         self.lock().waiting.remove(&ticket);
     }
 
-    /// Requests that wait for a backend server.
+    /// Returns the number of requests that wait for a backend server.
     pub fn waiting(&self) -> usize {
         self.lock().balancer.queue().waiting()
     }
 
-    /// Counts so far.
+    /// Returns the counts since the start.
     pub fn tally(&self) -> balancer::Tally {
         self.lock().balancer.tally()
     }
 
-    /// Answers requests that have waited too long; sleeps while nobody waits.
+    /// Runs the task that rejects requests that have waited too long. Sleeps while no request
+    /// waits.
     pub async fn run(&self) {
         loop {
             if self.tick() == 0 {
-                self.waited.notified().await;
+                self.has_waiting.notified().await;
             }
             tokio::time::sleep(TICK).await;
         }
@@ -465,7 +474,7 @@
         inner.balancer.queue().waiting()
     }
 
-    /// Sets what a team may do.
+    /// Sets the share of a team.
     pub fn set_share(&self, team: &Arc<str>, share: admission::Share) {
         let mut inner = self.lock();
         let id = inner.teams.intern(team);
@@ -506,7 +515,7 @@
         groups.map(|(group, ranks)| (group, targets(ranks))).collect()
     }
 
-    /// Hands each action to the request that it is about.
+    /// Sends each action to its request, and logs the balancer's notes.
     fn route(&mut self, actions: Vec<balancer::Action>) {
         for note in self.balancer.take_notes() {
             match note {
@@ -563,7 +572,7 @@
                 }
                 balancer::Action::Refuse(refusal) => (refusal.ticket, Next::Refuse(refusal)),
             };
-            // A permit that was dropped has told the balancer itself.
+            // A dropped permit has already reported the end of its request to the balancer.
             if let Some(sender) = self.waiting.get(&ticket) {
                 sender.send(next).unwrap_or_default();
             }
--- a/dispatch/src/permit.rs
+++ b/dispatch/src/permit.rs
@@ -1,4 +1,4 @@
-//! A request's guard.
+//! Guard of a request in the dispatcher.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,8 +8,8 @@
 
 use crate::{Dispatcher, Next};
 
-/// A request between arrival and final answer. Dropping it before its end
-/// means that the caller left.
+/// Guard of a request from its arrival to its final answer. Dropping it before the end of the
+/// request means that the client disconnected.
 pub struct Permit<T: Clone + Send> {
     dispatcher: Arc<Dispatcher<T>>,
     ticket: entity::Ticket,
@@ -26,28 +26,30 @@
         Permit { dispatcher, ticket, receiver, open: true }
     }
 
-    /// What to do next with the request.
+    /// Waits for the next step of the request. Returns none if the dispatcher has removed the
+    /// request.
     pub async fn next(&mut self) -> Option<Next<T>> {
         let next = self.receiver.recv().await;
         if matches!(next, Some(Next::Refuse(_))) {
-            // The balancer has ended it already.
+            // The balancer has already ended the request.
             self.open = false;
         }
         next
     }
 
-    /// The first part of the attempt's answer came after that time.
+    /// Reports that the first part of the attempt's answer arrived, `after` it was sent.
     pub fn begin(&self, after: Duration) {
         self.dispatcher.begin(self.ticket, after);
     }
 
-    /// An event of the request's stream came after a pause, which is zero for
-    /// the first one; events are wanted within `wanted`.
+    /// Reports that an event of the request's stream arrived after `pause`, which is zero for the
+    /// first event. The target for the time between events is `wanted`.
     pub fn event(&self, pause: Duration, wanted: Duration) {
         self.dispatcher.event(self.ticket, pause, wanted);
     }
 
-    /// The attempt ended; unless it was answered, [`Permit::next`] tells what follows.
+    /// Reports the end of the attempt. Unless the attempt was answered or abandoned,
+    /// [`Permit::next`] returns the next step.
     pub fn end(&mut self, end: balancer::End) {
         if matches!(end, balancer::End::Answered | balancer::End::Abandoned) {
             self.open = false;
@@ -61,6 +63,6 @@
         if self.open {
             self.dispatcher.end(self.ticket, balancer::End::Abandoned);
         }
-        self.dispatcher.forget(self.ticket);
+        self.dispatcher.remove_waiter(self.ticket);
     }
 }
--- a/dispatch/tests/common/mod.rs
+++ b/dispatch/tests/common/mod.rs
@@ -8,7 +8,7 @@
 
 const SERVICE: &str = "service";
 
-/// Entry of a run with so many slots.
+/// Returns the list entry of a run with `slots` slots.
 pub fn listing(run: &fleet::Run, slots: u32) -> dispatch::Listing<fleet::Run> {
     dispatch::Listing {
         run: run.clone(),
@@ -24,7 +24,7 @@
     }
 }
 
-/// A request that has so much time.
+/// Returns a request that is due after `time`.
 pub fn arrival(time: Duration) -> dispatch::Arrival {
     let due = boot::Instant::now() + time;
     dispatch::Arrival {
--- a/dispatch/tests/leaving.rs
+++ b/dispatch/tests/leaving.rs
@@ -1,9 +1,9 @@
-//! A backend server that says that it leaves gets nothing more, whatever the order
-//! in which its word, its next start and its entries are heard.
+//! A backend server that reports that it leaves receives no more requests, whatever the order in
+//! which its notice, its restart and its entries are received.
 //!
-//! Seen: a server got a request long after its gateway had passed on that it leaves.
-//! Cause: the word was kept for the run that the entry named at the time, and was
-//! lost where another run had said it.
+//! Guards against an observed failure: a server received a request long after its gateway had
+//! passed on that it leaves. The notice was recorded for the run that the entry showed at the time,
+//! and was lost if another run had sent it.
 
 #![allow(clippy::unwrap_used, reason = "a test that fails may panic")]
 
@@ -21,31 +21,31 @@
 use proptest::test_runner::RngSeed;
 
 const SLOTS: u32 = 4;
-/// Longer than any case takes.
+/// Time until each request's deadline, longer than any case takes.
 const TIME: Duration = Duration::from_secs(60);
 
-/// What happens, as far as the gateway is concerned or not.
+/// An event at the server or at the gateway.
 #[derive(Debug, Clone, Copy)]
 enum Step {
-    /// The server begins to say in its answers that it leaves.
+    /// The server starts to report in its answers that it leaves.
     Leave,
-    /// The server starts again.
+    /// The server restarts.
     Restart,
-    /// The gateway hears the server's entry as it now is.
-    Tell,
-    /// It hears an entry of the run before, late.
-    TellEarlier,
-    /// It hears that the entry is gone, or one that cannot be read.
-    Hide,
-    /// A request arrives, and is chosen for a server or waits.
+    /// The gateway receives the server's present entry.
+    Update,
+    /// The gateway receives a late entry of the previous run.
+    OutdatedUpdate,
+    /// The gateway receives the removal of the entry, or an unreadable entry.
+    Remove,
+    /// A request arrives, and a server is selected for it or it waits.
     Arrive,
-    /// One that was chosen is sent: its connection has come about.
+    /// A request with a selected server is sent, as its connection is established.
     Send(usize),
-    /// One that was sent is answered, where its run still lives.
+    /// A sent request is answered, if the run that received it still exists.
     Answer(usize),
-    /// The connection of one that was sent breaks: it goes on elsewhere.
+    /// The connection of a sent request breaks, and the request is retried elsewhere.
     Break(usize),
-    /// A health check.
+    /// The server answers a health check.
     Check,
 }
 
@@ -53,9 +53,9 @@
     prop_oneof![
         2 => Just(Step::Leave),
         2 => Just(Step::Restart),
-        3 => Just(Step::Tell),
-        1 => Just(Step::TellEarlier),
-        1 => Just(Step::Hide),
+        3 => Just(Step::Update),
+        1 => Just(Step::OutdatedUpdate),
+        1 => Just(Step::Remove),
         4 => Just(Step::Arrive),
         4 => (0..8_usize).prop_map(Step::Send),
         3 => (0..8_usize).prop_map(Step::Answer),
@@ -69,20 +69,20 @@
 /// A request between its arrival and its answer.
 struct Pending {
     permit: dispatch::Permit<fleet::Run>,
-    /// The attempt, once it was chosen.
+    /// The attempt, once a server was selected.
     attempt: Option<dispatch::Attempt<fleet::Run>>,
-    /// The run that it reached, once it was sent.
+    /// The run that received the request, once it was sent.
     reached: Option<u64>,
 }
 
-/// One server, another one that never changes, and a gateway before them.
+/// One server, another one that never changes, and a gateway in front of them.
 struct World {
     dispatcher: Arc<Dispatcher>,
     /// Start of the server's present run.
     born: u64,
     leaving: bool,
-    /// Whether the gateway had an answer of this run that said that it leaves.
-    heard: bool,
+    /// Whether the gateway received an answer of this run that reports that it leaves.
+    notified: bool,
     listed: Option<u64>,
     pending: Vec<Pending>,
 }
@@ -95,7 +95,7 @@
         let dispatcher =
             Arc::new(Dispatcher::new(&balancer::Options::default().retry_reserve(1e6)));
         let (born, listed, pending) = (1, Some(1), Vec::new());
-        let world = World { dispatcher, born, leaving: false, heard: false, listed, pending };
+        let world = World { dispatcher, born, leaving: false, notified: false, listed, pending };
         world.list();
         world
     }
@@ -104,20 +104,20 @@
         fleet::Run { id: id.into(), born: Some(born) }
     }
 
-    /// Hands the gateway the list, as it is known there.
+    /// Applies the list of servers as the gateway currently knows it.
     fn list(&self) {
         let own = self.listed.map(|born| listing(&World::run(SERVER, born), SLOTS));
         let other = listing(&World::run(OTHER, 1), SLOTS);
         self.dispatcher.list(own.into_iter().chain([other]).collect());
     }
 
-    fn tell(&mut self, listed: Option<u64>) {
+    fn update(&mut self, listed: Option<u64>) {
         self.listed = listed;
         self.list();
     }
 
-    /// Takes what the dispatcher has decided meanwhile.
-    fn follow(&mut self) {
+    /// Applies the dispatcher's decisions since the last call.
+    fn apply_decisions(&mut self) {
         self.pending.retain_mut(|pending| {
             while let Some(next) = pending.permit.next().now_or_never() {
                 match next {
@@ -139,7 +139,7 @@
             return pending.permit.end(balancer::End::Withheld);
         }
         let own = *attempt.target.id == *SERVER;
-        assert!(!(own && self.heard), "the server had said that it leaves");
+        assert!(!(own && self.notified), "the server had reported that it leaves");
         pending.reached = Some(if own { self.born } else { 0 });
     }
 
@@ -154,7 +154,7 @@
         if pending.reached == Some(self.born) && self.leaving {
             let notice = notice::Notice { leaving: true, ..Default::default() };
             self.dispatcher.notice(pending.attempt.as_ref().unwrap().server, &notice);
-            self.heard = true;
+            self.notified = true;
         }
         pending.permit.end(balancer::End::Answered);
     }
@@ -167,7 +167,7 @@
         }
     }
 
-    /// The server answers a health check for itself.
+    /// Answers the health checks of the servers that may leave.
     fn check(&self) {
         while let Some(unsettled) = self.dispatcher.unsettled().now_or_never() {
             for (server, target) in unsettled {
@@ -182,11 +182,11 @@
             Step::Leave => self.leaving = true,
             Step::Restart => {
                 self.born += 1;
-                (self.leaving, self.heard) = (false, false);
+                (self.leaving, self.notified) = (false, false);
             }
-            Step::Tell => self.tell(Some(self.born)),
-            Step::TellEarlier => self.tell(Some(self.born.saturating_sub(1).max(1))),
-            Step::Hide => self.tell(None),
+            Step::Update => self.update(Some(self.born)),
+            Step::OutdatedUpdate => self.update(Some(self.born.saturating_sub(1).max(1))),
+            Step::Remove => self.update(None),
             Step::Arrive => {
                 let permit = self.dispatcher.arrive(&arrival(TIME));
                 self.pending.push(Pending { permit, attempt: None, reached: None });
@@ -196,7 +196,7 @@
             Step::Break(index) => self.break_off(index),
             Step::Check => self.check(),
         }
-        self.follow();
+        self.apply_decisions();
     }
 }
 
@@ -206,27 +206,27 @@
     })]
 
     #[test]
-    fn a_run_that_said_that_it_leaves_gets_nothing_more(
+    fn a_run_that_reported_leaving_receives_no_more_requests(
         steps in proptest::collection::vec(step(), 1..60)
     ) {
         let mut world = World::new();
         for step in steps {
             world.step(step);
         }
-        // Once it has started again and all of that is heard, it is used again.
+        // After a restart that the gateway has fully received, the server is used again.
         world.step(Step::Restart);
-        world.step(Step::Tell);
+        world.step(Step::Update);
         world.step(Step::Check);
         prop_assert_eq!(world.dispatcher.noticed().1, 0);
     }
 }
 
-/// An answer to what was chosen for the run before comes after the entry of the
-/// next one, which gave it.
+/// Guards against a leaving notice that takes effect late. The request was assigned to the previous
+/// run but answered by the next one, and the answer arrives after the entry of the next run.
 #[test]
-fn a_word_that_comes_after_the_entry_holds_at_once() {
+fn a_leaving_notice_received_after_the_entry_applies_at_once() {
     let mut world = World::new();
-    world.tell(Some(1));
+    world.update(Some(1));
     while !world.pending.last().is_some_and(|last| {
         last.attempt.as_ref().is_some_and(|attempt| *attempt.target.id == *SERVER)
     }) {
@@ -236,7 +236,7 @@
     world.step(Step::Restart);
     world.step(Step::Leave);
     world.step(Step::Send(index));
-    world.step(Step::Tell);
+    world.step(Step::Update);
     world.step(Step::Answer(index));
     for _ in 0..8 {
         world.step(Step::Arrive);
--- a/dispatch/tests/runs.rs
+++ b/dispatch/tests/runs.rs
@@ -1,4 +1,4 @@
-//! What a dispatcher tells of a backend server whose connection broke.
+//! The dispatcher's view of the runs of a backend server, also after its connection broke.
 
 #![allow(clippy::unwrap_used, reason = "a test that fails may panic")]
 
@@ -18,7 +18,7 @@
     fleet::Run { id: id.into(), born }
 }
 
-/// A dispatcher that lists the run, and the server as it names it.
+/// Returns a dispatcher that lists the run, and the dispatcher's id of the server.
 async fn listed(run: &fleet::Run) -> (Arc<dispatch::Dispatcher<fleet::Run>>, entity::Server) {
     let dispatcher = Arc::new(dispatch::Dispatcher::new(&balancer::Options::default()));
     dispatcher.list(vec![listing(run, SLOTS)]);
@@ -28,7 +28,7 @@
 }
 
 #[tokio::test]
-async fn who_says_so_or_is_off_the_list_is_leaving() {
+async fn a_server_that_reports_leaving_or_is_unlisted_is_leaving() {
     let first = run("a", Some(1));
     let (dispatcher, server) = listed(&first).await;
     assert!(!dispatcher.leaving(server));
@@ -39,33 +39,34 @@
 }
 
 #[tokio::test]
-async fn who_started_again_has_not_left_but_ended() {
+async fn a_restarted_server_is_not_leaving_and_is_another_run() {
     let (first, second) = (run("a", Some(1)), run("a", Some(2)));
     let (dispatcher, server) = listed(&first).await;
     assert!(!dispatcher.any_listed(|other| other.differs(&first)));
     dispatcher.list(vec![listing(&second, SLOTS)]);
     assert!(!dispatcher.leaving(server));
     assert!(dispatcher.any_listed(|other| other.differs(&first)));
-    // What is off the list is not found.
+    // A server that is no longer listed is not found.
     dispatcher.list(vec![listing(&run("b", Some(1)), SLOTS)]);
     assert!(!dispatcher.any_listed(|other| *other == second));
 }
 
-/// The pattern: a server starts again under its id and says that it leaves, before
-/// its entry tells the new start; the entry then ends the run that was told so.
+/// Guards against losing a leaving notice at a restart. A server restarts under its id and reports
+/// that it leaves before its entry shows the new start. The entry then ends the run for which the
+/// notice was recorded.
 #[tokio::test]
-async fn a_word_said_by_the_next_run_holds_for_it() {
+async fn a_leaving_notice_of_the_next_run_applies_to_that_run() {
     let first = run("a", Some(1));
     let (dispatcher, server) = listed(&first).await;
     let leaves = notice::Notice { leaving: true, ..Default::default() };
     assert_eq!(dispatcher.notice(server, &leaves), Some(notice::Change::Leaves));
-    let said = loftcove_clock::unix_ms();
-    dispatcher.list(vec![listing(&run("a", Some(said - 100)), SLOTS)]);
+    let noticed_at = loftcove_clock::unix_ms();
+    dispatcher.list(vec![listing(&run("a", Some(noticed_at - 100)), SLOTS)]);
     let mut permit = dispatcher.arrive(&arrival(Duration::from_millis(50)));
     assert!(matches!(permit.next().await, Some(dispatch::Next::Refuse(_))));
-    // A run that began after the word has not said it, which it tells itself: the
-    // clocks of hosts do not tell which of the two was first.
-    dispatcher.list(vec![listing(&run("a", Some(said + 1_000)), SLOTS)]);
+    // A run that began after the notice has not sent it. The server itself must confirm this, since
+    // the clocks of two hosts do not show which of the two events was first.
+    dispatcher.list(vec![listing(&run("a", Some(noticed_at + 1_000)), SLOTS)]);
     let mut permit = dispatcher.arrive(&arrival(Duration::from_millis(50)));
     assert!(matches!(permit.next().await, Some(dispatch::Next::Refuse(_))));
     let unsettled = dispatcher.unsettled().await;
@@ -76,7 +77,7 @@
 }
 
 #[test]
-fn a_start_that_is_not_told_makes_no_other_run() {
+fn runs_with_an_unknown_start_differ_only_by_id() {
     assert!(!run("a", None).differs(&run("a", Some(1))));
     assert!(!run("a", Some(1)).differs(&run("a", None)));
     assert!(run("a", Some(1)).differs(&run("a", Some(2))));
--- a/dispatch/tests/suspension.rs
+++ b/dispatch/tests/suspension.rs
@@ -1,4 +1,4 @@
-//! What a dispatcher makes of the time in which its host was suspended.
+//! The dispatcher counts the time of a suspension of the host towards deadlines.
 
 #![allow(clippy::unwrap_used, reason = "a test that fails may panic")]
 
@@ -12,11 +12,11 @@
 use loftcove_decision::{balancer, fleet};
 use loftcove_dispatch as dispatch;
 
-/// The pattern: a host is suspended for longer than a request that waits has
-/// time. It is answered at once, not after the time that its timer still counts,
-/// and goes to no server.
+/// Guards against a request that outlives its deadline because timers stop during a suspension of
+/// the host. The host is suspended for longer than the time left to a waiting request. The request
+/// must be rejected at once, not when its timer fires, and must not be sent to a server.
 #[tokio::test]
-async fn a_request_that_waited_through_a_suspension_is_refused_at_once() {
+async fn rejects_a_waiting_request_at_once_after_a_suspension_past_its_deadline() {
     let dispatcher = Arc::new(dispatch::Dispatcher::new(&balancer::Options::default()));
     let run = fleet::Run { id: "server".into(), born: Some(1) };
     dispatcher.list(vec![listing(&run, 1)]);
@@ -26,7 +26,7 @@
     assert!(matches!(first.next().await, Some(dispatch::Next::Send(_))));
     let mut second = dispatcher.arrive(&arrival(Duration::from_secs(30)));
     boot::simulate_suspension(Duration::from_secs(40));
-    let told = tokio::time::timeout(Duration::from_secs(10), second.next()).await;
-    let Some(dispatch::Next::Refuse(refusal)) = told.unwrap() else { panic!("it was sent") };
+    let next = tokio::time::timeout(Duration::from_secs(10), second.next()).await;
+    let Some(dispatch::Next::Refuse(refusal)) = next.unwrap() else { panic!("it was sent") };
     assert_eq!(refusal.outcome, balancer::Outcome::NotRun);
 }
