--- a/decision/tests/eras.rs
+++ b/decision/tests/eras.rs
@@ -1,5 +1,5 @@
-//! A copy of the store that is merged from listings, changes and peers, while the store
-//! loses parts of its history and gives revisions out again.
+//! A partial copy of the store is merged from listings, changes and peers, while the store loses
+//! parts of its history and assigns revision numbers again.
 
 #![allow(clippy::unwrap_used, reason = "a test that fails may panic")]
 
@@ -26,8 +26,8 @@
     mirror.get(key).map(|value| String::from_utf8(value.to_vec()).unwrap())
 }
 
-/// Seen: four configurations after a loss were dropped, as their revisions had been given
-/// out before.
+/// Guards against an observed failure: four configurations that were written after a loss were
+/// dropped, because their revision numbers had been assigned before it.
 #[test]
 fn a_lower_number_of_a_later_era_is_newer() {
     let mut mirror = Mirror::default();
@@ -39,16 +39,22 @@
 }
 
 #[test]
-fn an_older_value_takes_effect_only_where_its_owner_does_not_write_again() {
+fn an_older_value_takes_effect_unless_its_owner_writes_again() {
     let mut mirror = Mirror::default();
     mirror.apply(&put("servers/a", 0, 30, "draining"), NOW);
     mirror.apply(&put("servers/b", 0, 31, "draining"), NOW);
     mirror.apply(&put("servers/c", 0, 32, "ready"), NOW);
-    // The store is back without the last three writes.
+    // The store returns without the last three writes.
     assert!(mirror.defer(&put("servers/a", 1, 10, "ready"), NOW + GRACE, true));
     assert!(mirror.defer(&put("servers/b", 1, 11, "ready"), NOW + GRACE, true));
-    assert!(!mirror.defer(&put("servers/c", 1, 12, "ready"), NOW + GRACE, true), "it is the same");
-    assert!(!mirror.defer(&put("servers/d", 1, 13, "ready"), NOW + GRACE, true), "it is new");
+    assert!(
+        !mirror.defer(&put("servers/c", 1, 12, "ready"), NOW + GRACE, true),
+        "an unchanged value was deferred"
+    );
+    assert!(
+        !mirror.defer(&put("servers/d", 1, 13, "ready"), NOW + GRACE, true),
+        "the value of an unknown key was deferred"
+    );
     assert!(mirror.apply(&put("servers/a", 1, 21, "draining"), NOW));
     assert_eq!(mirror.next_expiry(), Some(NOW + GRACE));
     let due = mirror.expire(NOW + GRACE);
@@ -57,10 +63,10 @@
     assert_eq!(value(&mirror, "servers/b").unwrap(), "ready");
 }
 
-/// A drain mark that an operator had taken away comes back with the store for a moment; a
-/// configuration, which has a version of its own, is not held.
+/// Guards against a drain that returns after an operator removed it: a store that lost the removal
+/// still has its mark. A configuration has a version and is not deferred.
 #[test]
-fn what_had_been_removed_is_held_and_a_newer_configuration_is_not() {
+fn a_removed_key_that_returns_is_deferred_and_a_configuration_is_not() {
     let mut mirror = Mirror::default();
     mirror.apply(&put("op/evacuate/norte", 0, 30, "x"), NOW);
     mirror.apply(&Record { value: None, ..put("op/evacuate/norte", 0, 40, "") }, NOW);
@@ -69,9 +75,10 @@
     assert!(!mirror.defer(&put("op/config", 1, 38, "21"), NOW + GRACE, false));
 }
 
-/// Two losses within a second: what was written again after the first is lost as well.
+/// Guards against a grace that is too short after two losses within a second. Values that were
+/// written again after the first loss are lost in the second.
 #[test]
-fn owners_have_the_time_again_in_each_era() {
+fn the_deferral_starts_again_in_each_era() {
     let mut mirror = Mirror::default();
     mirror.apply(&put("servers/a", 0, 30, "draining"), NOW);
     let later = NOW + Duration::from_secs(1);
@@ -83,7 +90,7 @@
 }
 
 #[test]
-fn terms_and_fences_order_as_revisions_do() {
+fn ordinals_have_the_order_of_revisions() {
     let places = [(0, 1), (0, 53), (1, 2), (1, 52), (7, 0), (7, (1 << 36) - 1), (8, 1)];
     let ordinals = places.map(|(era, number)| Revision::new(era, number).ordinal());
     assert!(ordinals.is_sorted_by(|one, next| one < next));
@@ -93,19 +100,19 @@
     assert_eq!(Revision::new(0, 53).ordinal(), 53);
 }
 
-/// What the store does, and what reaches the two hosts.
+/// An event at the store or at one of the two hosts.
 #[derive(Debug, Clone)]
 enum Event {
     /// An owner writes a key, or removes it.
     Write(usize, bool),
-    /// The store comes back without the last few writes.
+    /// The store returns without its last few writes.
     Lose(usize),
-    /// A host lists it.
+    /// A host lists the store.
     List(usize),
-    /// A host gets the changes since its listing, or lists where they are gone.
+    /// A host receives the changes since its listing, or lists the store if they were lost.
     Watch(usize),
-    /// A host is told by the other one, all it knew at some time before.
-    Tell(usize, prop::sample::Index),
+    /// A host receives all records that the other one had at some earlier time.
+    Send(usize, prop::sample::Index),
     /// Time passes.
     Pass(u64),
 }
@@ -116,12 +123,12 @@
         1 => (0_usize..6).prop_map(Event::Lose),
         2 => (0_usize..2).prop_map(Event::List),
         4 => (0_usize..2).prop_map(Event::Watch),
-        2 => (0_usize..2, any::<prop::sample::Index>()).prop_map(|(to, when)| Event::Tell(to, when)),
+        2 => (0_usize..2, any::<prop::sample::Index>()).prop_map(|(to, when)| Event::Send(to, when)),
         2 => (0_u64..1_500).prop_map(Event::Pass),
     ]
 }
 
-/// A plain model of the store: all changes of the present history.
+/// A simple model of the store: all changes of the present history.
 #[derive(Default)]
 struct Store {
     era: u32,
@@ -146,7 +153,7 @@
         Revision::new(self.era, self.changes.len() as u64)
     }
 
-    /// The items with the revisions that an answer of the present era gives them.
+    /// Returns the items, with the revisions that a listing in the present era has.
     fn items(&self) -> BTreeMap<Arc<str>, Record> {
         let mut items = BTreeMap::new();
         for change in &self.changes {
@@ -163,7 +170,7 @@
 struct Host {
     mirror: Mirror,
     after: Option<Revision>,
-    told: Vec<Vec<Record>>,
+    sent: Vec<Vec<Record>>,
 }
 
 impl Host {
@@ -194,10 +201,10 @@
 }
 
 proptest! {
-    /// Whatever the order of writes, losses, listings, changes and tales of peers, both hosts
-    /// end with what the store has.
+    /// Whatever the order of writes, losses, listings, changes and records from peers, both hosts
+    /// converge to the items of the store.
     #[test]
-    fn hosts_end_with_what_the_store_has(events in prop::collection::vec(event(), 1..120)) {
+    fn hosts_converge_to_the_items_of_the_store(events in prop::collection::vec(event(), 1..120)) {
         let (mut store, mut now) = (Store::default(), NOW);
         let mut hosts = [Host::default(), Host::default()];
         for event in events {
@@ -206,28 +213,28 @@
                 Event::Lose(count) => store.lose(count),
                 Event::List(host) => hosts[host].list(&store, now),
                 Event::Watch(host) => hosts[host].watch(&store, now),
-                Event::Tell(to, when) => {
-                    let told = &hosts[1 - to].told;
-                    let records = if told.is_empty() { Vec::new() } else { told[when.index(told.len())].clone() };
+                Event::Send(to, when) => {
+                    let sent = &hosts[1 - to].sent;
+                    let records = if sent.is_empty() { Vec::new() } else { sent[when.index(sent.len())].clone() };
                     records.iter().for_each(|record| { hosts[to].mirror.apply(record, now); });
                 }
                 Event::Pass(ms) => now = now + Duration::from_millis(ms),
             }
             for host in &mut hosts {
                 host.mirror.expire(now);
-                host.told.push(host.mirror.records().collect());
+                host.sent.push(host.mirror.records().collect());
             }
         }
         for host in &mut hosts {
             host.watch(&store, now);
             host.mirror.expire(now + GRACE);
         }
-        let has: BTreeMap<Arc<str>, Option<Bytes>> =
+        let expected: BTreeMap<Arc<str>, Option<Bytes>> =
             store.items().into_iter().map(|(key, item)| (key, item.value)).collect();
         for host in &hosts {
             let known: BTreeMap<Arc<str>, Option<Bytes>> =
                 host.mirror.below("servers/").map(|record| (record.key, record.value)).collect();
-            prop_assert_eq!(&known, &has);
+            prop_assert_eq!(&known, &expected);
         }
     }
 }
--- a/decision/tests/homes.rs
+++ b/decision/tests/homes.rs
@@ -1,4 +1,4 @@
-//! No idempotency key is granted twice, whatever order things happen in.
+//! No idempotency key is granted twice, whatever the order of events.
 
 #![allow(clippy::unwrap_used, reason = "a test that fails may panic")]
 
@@ -21,8 +21,8 @@
     capacity: 64,
 };
 
-/// What may happen. Reads and writes are two events each, so that whatever
-/// lies between them may be late, lost, or asleep.
+/// An event of a generated run. A read or write consists of two events, because messages may be
+/// late or lost between them and processes may be suspended.
 #[derive(Debug, Clone)]
 enum Event {
     Pass(u64),
@@ -39,11 +39,11 @@
         away: [bool; AGENTS],
     },
     Restart(usize),
-    /// An agent does what is due, as its daemon would, if it reaches the platform.
+    /// An agent makes all changes that are due, as its daemon would, if the platform is reachable.
     Cycle(usize),
-    /// An agent loses the platform, or reaches it again.
+    /// The platform becomes unreachable for an agent, or reachable again.
     Online(usize, bool),
-    /// A key is claimed at every agent, as if by callers with all kinds of stale tables.
+    /// A key is claimed at every agent, as by clients whose tables are outdated in different ways.
     Claim {
         first: usize,
         age: u64,
@@ -67,12 +67,12 @@
 struct Agent {
     keeper: keeper::Keeper,
     incarnation: u64,
-    /// How far its wall clock is ahead.
+    /// Milliseconds by which its wall clock is ahead.
     ahead: u64,
     online: bool,
-    /// A read under way: when it began, and what it will show.
+    /// A read in progress: when it began, and the revision and table that it returns.
     read: Option<(clock::Instant, u64, table::Table)>,
-    /// A write under way: over which revision, and what.
+    /// A write in progress: the expected revision, and the new table.
     write: Option<(u64, table::Table)>,
 }
 
@@ -126,7 +126,7 @@
         clock::Wall::from_millis(EPOCH_MS + self.now + self.agents[agent].ahead)
     }
 
-    fn happen(&mut self, event: Event) {
+    fn apply(&mut self, event: Event) {
         let now = self.now();
         match event {
             Event::Pass(millis) => self.now += millis,
@@ -158,7 +158,7 @@
             Event::Restart(agent) => {
                 let incarnation = self.agents[agent].incarnation + 1;
                 let keeper = keeper::Keeper::new(holder(agent, incarnation), RULES);
-                // What the old run had sent may still arrive.
+                // A write that the old run sent may still arrive.
                 let write = self.agents[agent].write.take();
                 let Agent { ahead, online, .. } = self.agents[agent];
                 self.agents[agent] =
@@ -168,8 +168,8 @@
             Event::Cycle(agent) => self.cycle(agent),
             Event::Claim { first, age, salt } => {
                 let made = self.wall((first + 1) % AGENTS).millis().saturating_sub(age);
-                self.keys.push(mint(made, salt));
-                self.claim_everywhere(first, mint(made, salt));
+                self.keys.push(key_at(made, salt));
+                self.claim_everywhere(first, key_at(made, salt));
             }
             Event::ClaimAgain { first, which } => {
                 if !self.keys.is_empty() {
@@ -180,8 +180,8 @@
     }
 
     fn read(&mut self, agent: usize) {
-        self.happen(Event::BeginRead(agent));
-        self.happen(Event::EndRead(agent));
+        self.apply(Event::BeginRead(agent));
+        self.apply(Event::EndRead(agent));
     }
 
     fn cycle(&mut self, agent: usize) {
@@ -189,14 +189,14 @@
             self.read(agent);
             for change in [Change::Retake, Change::TakeOver, Change::Mend, Change::Settle] {
                 self.begin_change(agent, change);
-                self.happen(Event::EndChange(agent));
+                self.apply(Event::EndChange(agent));
                 self.read(agent);
             }
         }
         for witness in 0..AGENTS {
             let link = Event::Renew { home: agent, witness, late: 0 };
             if witness != agent {
-                self.happen(link);
+                self.apply(link);
             }
         }
     }
@@ -237,11 +237,11 @@
 
     fn orphan(&mut self, away: [bool; AGENTS]) {
         let gone = |name: &str| (0..AGENTS).any(|agent| away[agent] && *host(agent) == *name);
-        let heir = (0..AGENTS).find(|agent| !away[*agent]);
+        let successor = (0..AGENTS).find(|agent| !away[*agent]);
         let mut next = self.table.clone();
         let changed = next.reassign(
             |entry| gone(&entry.home.host) && entry.witness.as_deref().is_none_or(gone),
-            |_, _| Some(table::Holder { host: host(heir?), incarnation: table::NO_RUN }),
+            |_, _| Some(table::Holder { host: host(successor?), incarnation: table::NO_RUN }),
             &candidates(),
             table::Way::Orphaned,
         );
@@ -267,7 +267,7 @@
     table::Holder { host: host(agent), incarnation }
 }
 
-fn mint(millis: u64, salt: u8) -> key::Key {
+fn key_at(millis: u64, salt: u8) -> key::Key {
     let mut bytes = [salt; 16];
     bytes[..6].copy_from_slice(&millis.to_be_bytes()[2..]);
     bytes[6] = 0x70;
@@ -303,7 +303,7 @@
     ]
 }
 
-/// The same cases in every run.
+/// Returns a configuration with the same cases in every run.
 fn config(cases: u32) -> ProptestConfig {
     let rng_seed = RngSeed::Fixed(20_261_202);
     ProptestConfig { cases, rng_seed, failure_persistence: None, ..ProptestConfig::default() }
@@ -320,7 +320,7 @@
         let skew = RULES.skew.as_millis() as u64;
         let mut world = World::new(ahead.map(|ahead| u64::from(ahead) % (skew + 1)));
         for event in events {
-            world.happen(event);
+            world.apply(event);
         }
         for (key, times) in &world.granted {
             prop_assert!(*times <= 1, "{} was granted {} times", key, times);
@@ -329,30 +329,30 @@
 }
 
 #[test]
-fn a_home_serves_through_a_platform_outage_with_its_witness() {
+fn a_home_grants_keys_during_a_platform_outage_while_its_witness_promises() {
     let mut world = World::new([0; AGENTS]);
     for event in [Event::BeginRead(0), Event::EndRead(0), Event::BeginRead(1), Event::EndRead(1)] {
-        world.happen(event);
+        world.apply(event);
     }
     for event in [Event::BeginChange(0, Change::Retake), Event::EndChange(0)] {
-        world.happen(event);
+        world.apply(event);
     }
     for event in [Event::BeginRead(0), Event::EndRead(0), Event::BeginRead(1), Event::EndRead(1)] {
-        world.happen(event);
+        world.apply(event);
     }
     let slot = loftcove_decision::entity::Slot::from_u32(0);
     let witness = world.table.slots[0].witness.clone().unwrap();
     assert_eq!(&*witness, "agent1");
     for _ in 0..6 {
-        world.happen(Event::Pass(50));
-        world.happen(Event::Renew { home: 0, witness: 1, late: 1 });
+        world.apply(Event::Pass(50));
+        world.apply(Event::Renew { home: 0, witness: 1, late: 1 });
         assert!(world.agents[0].keeper.holds(slot, world.now()));
     }
-    world.happen(Event::Pass(61));
+    world.apply(Event::Pass(61));
     assert!(!world.agents[0].keeper.holds(slot, world.now()));
 }
 
-/// A world in which agent 0 is the home of slot 0, and agent 1 its witness.
+/// Returns a world in which agent 0 is the home of slot 0 and agent 1 is its witness.
 fn settled_world() -> World {
     let mut world = World::new([0; AGENTS]);
     (0..2).for_each(|_| (0..AGENTS).for_each(|agent| world.cycle(agent)));
@@ -360,11 +360,12 @@
     world
 }
 
-/// A key of slot 0 that was made so long ago, or is from so far ahead.
+/// Returns a key of slot 0 whose creation time is `ahead` ms after the present, or before it if
+/// negative.
 fn key_of_slot_0(world: &World, ahead: i64) -> key::Key {
     let made = (EPOCH_MS + world.now).saturating_add_signed(ahead);
     let fits = |key: &key::Key| key.slot(SLOTS).as_u32() == 0;
-    (0..=u8::MAX).map(|salt| mint(made, salt)).find(fits).unwrap()
+    (0..=u8::MAX).map(|salt| key_at(made, salt)).find(fits).unwrap()
 }
 
 fn standing(world: &mut World, agent: usize, key: key::Key) -> keeper::Standing {
@@ -375,45 +376,45 @@
 }
 
 #[test]
-fn a_key_from_the_future_is_refused() {
+fn rejects_a_key_created_in_the_future() {
     let mut world = settled_world();
     let key = key_of_slot_0(&world, 500);
     assert_eq!(standing(&mut world, 0, key), keeper::Standing::Future);
 }
 
 #[test]
-fn promises_alone_end_with_the_grace() {
+fn promises_without_the_platform_expire_with_the_grace() {
     let mut world = settled_world();
-    world.happen(Event::Online(0, false));
+    world.apply(Event::Online(0, false));
     for _ in 0..12 {
-        world.happen(Event::Pass(30));
-        world.happen(Event::Renew { home: 0, witness: 1, late: 0 });
+        world.apply(Event::Pass(30));
+        world.apply(Event::Renew { home: 0, witness: 1, late: 0 });
     }
     let key = key_of_slot_0(&world, 0);
     assert_eq!(standing(&mut world, 0, key), keeper::Standing::Granted);
     for _ in 0..3 {
-        world.happen(Event::Pass(30));
-        world.happen(Event::Renew { home: 0, witness: 1, late: 0 });
+        world.apply(Event::Pass(30));
+        world.apply(Event::Renew { home: 0, witness: 1, late: 0 });
     }
     let key = key_of_slot_0(&world, 0);
     assert_eq!(standing(&mut world, 0, key), keeper::Standing::NotHome);
 }
 
 #[test]
-fn doubt_about_an_earlier_home_outlives_the_next_change() {
+fn the_wait_for_an_earlier_home_continues_after_the_next_change() {
     let mut world = settled_world();
-    // Agents 0 and 1 are thought gone and go on without the platform.
+    // Agents 0 and 1 are presumed lost and continue without the platform.
     for agent in [0, 1] {
-        world.happen(Event::Online(agent, false));
+        world.apply(Event::Online(agent, false));
     }
-    world.happen(Event::Orphan { away: [true, true, false] });
+    world.apply(Event::Orphan { away: [true, true, false] });
     world.cycle(2);
-    // The new home restarts at once: that must not shorten the wait for agent 0.
-    world.happen(Event::Restart(2));
+    // The new home restarts at once. This must not shorten the wait for the lease of agent 0.
+    world.apply(Event::Restart(2));
     for _ in 0..6 {
         world.cycle(2);
-        world.happen(Event::Pass(50));
-        world.happen(Event::Renew { home: 0, witness: 1, late: 0 });
+        world.apply(Event::Pass(50));
+        world.apply(Event::Renew { home: 0, witness: 1, late: 0 });
     }
     let key = key_of_slot_0(&world, 0);
     assert_eq!(standing(&mut world, 0, key), keeper::Standing::Granted);
@@ -421,18 +422,18 @@
 }
 
 #[test]
-fn a_home_that_has_replaced_its_witness_does_not_rely_on_the_old_one() {
+fn a_home_that_replaced_its_witness_ignores_promises_of_the_old_one() {
     let mut world = settled_world();
-    let (now, heir) = (world.now(), [candidates()[2].clone()]);
+    let (now, successor) = (world.now(), [candidates()[2].clone()]);
     let keeper = &mut world.agents[0].keeper;
-    let next = keeper.mend_witnesses(|host| host == "agent1", &heir, now);
-    // The change takes effect and its answer is lost, with the platform.
+    let next = keeper.mend_witnesses(|host| host == "agent1", &successor, now);
+    // The change is applied, but its answer is lost and the platform becomes unreachable.
     world.swap(world.revision, next.unwrap());
-    world.happen(Event::Online(0, false));
-    world.happen(Event::Online(1, false));
+    world.apply(Event::Online(0, false));
+    world.apply(Event::Online(1, false));
     for _ in 0..6 {
-        world.happen(Event::Pass(50));
-        world.happen(Event::Renew { home: 0, witness: 1, late: 0 });
+        world.apply(Event::Pass(50));
+        world.apply(Event::Renew { home: 0, witness: 1, late: 0 });
         world.cycle(2);
     }
     assert_eq!(world.table.slots[0].home.host, host(2));
@@ -441,21 +442,21 @@
 }
 
 #[test]
-fn a_home_out_of_its_witness_reach_replaces_it_and_stays_the_home() {
+fn a_home_that_cannot_reach_its_witness_replaces_it_and_stays_the_home() {
     let mut world = settled_world();
-    // Agent 1 hears from nobody, and reaches the platform.
+    // Agent 1 receives no requests for promises, but can reach the platform.
     for _ in 0..20 {
-        world.happen(Event::Pass(20));
+        world.apply(Event::Pass(20));
         for agent in [0, 2] {
             world.read(agent);
             world.begin_change(agent, Change::Mend);
-            world.happen(Event::EndChange(agent));
+            world.apply(Event::EndChange(agent));
             world.read(agent);
         }
-        world.happen(Event::Renew { home: 0, witness: 2, late: 0 });
+        world.apply(Event::Renew { home: 0, witness: 2, late: 0 });
         world.read(1);
         world.begin_change(1, Change::TakeOver);
-        world.happen(Event::EndChange(1));
+        world.apply(Event::EndChange(1));
     }
     let slot = &world.table.slots[0];
     assert_eq!((slot.home.clone(), slot.witness.clone()), (holder(0, 1), Some(host(2))));
--- a/decision/tests/mirror.rs
+++ b/decision/tests/mirror.rs
@@ -1,4 +1,4 @@
-//! The copy of the store goes forwards only, and holds removals back as it is told.
+//! The partial copy of the store never reverts to older records, and defers suspected removals.
 
 #![allow(clippy::unwrap_used, reason = "a test that fails may panic")]
 
@@ -18,7 +18,7 @@
     }
 }
 
-fn gone(key: &str, revision: u64) -> Record {
+fn removal(key: &str, revision: u64) -> Record {
     Record { key: key.into(), revision: Revision::new(0, revision), value: None }
 }
 
@@ -29,15 +29,15 @@
     let mut mirror = Mirror::default();
     assert!(mirror.apply(&put("a", 5, "new"), NOW));
     assert!(!mirror.apply(&put("a", 4, "old"), NOW));
-    assert!(!mirror.apply(&gone("a", 3), NOW));
+    assert!(!mirror.apply(&removal("a", 3), NOW));
     assert_eq!(mirror.get("a").unwrap(), "new");
-    assert!(mirror.apply(&gone("a", 6), NOW));
-    assert!(!mirror.apply(&put("a", 5, "new"), NOW), "a peer that is behind");
+    assert!(mirror.apply(&removal("a", 6), NOW));
+    assert!(!mirror.apply(&put("a", 5, "new"), NOW), "an outdated record of a peer was applied");
     assert_eq!(mirror.get("a"), None);
 }
 
 #[test]
-fn a_suspected_removal_takes_effect_only_if_the_key_stays_away() {
+fn a_suspected_removal_takes_effect_unless_the_key_is_written_again() {
     let mut mirror = Mirror::default();
     mirror.apply(&put("servers/a", 1, "x"), NOW);
     mirror.apply(&put("servers/b", 2, "x"), NOW);
@@ -46,21 +46,21 @@
     keys.iter().for_each(|key| mirror.suspect_removal(key, Revision::new(0, 7), due));
     assert!(mirror.expire(NOW + Duration::from_millis(1_999)).is_empty());
     mirror.apply(&put("servers/b", 8, "back"), NOW);
-    assert_eq!(mirror.expire(due), [gone("servers/a", 7)]);
+    assert_eq!(mirror.expire(due), [removal("servers/a", 7)]);
     assert_eq!(mirror.get("servers/b").unwrap(), "back");
 }
 
 #[test]
-fn a_removal_that_a_peer_is_sure_of_goes_before_a_suspicion() {
+fn a_confirmed_removal_from_a_peer_replaces_a_suspected_one() {
     let mut mirror = Mirror::default();
     mirror.apply(&put("servers/a", 1, "x"), NOW);
     mirror.suspect_removal(&"servers/a".into(), Revision::new(0, 7), NOW + Duration::from_secs(2));
-    assert!(mirror.apply(&gone("servers/a", 7), NOW));
+    assert!(mirror.apply(&removal("servers/a", 7), NOW));
     assert!(mirror.expire(NOW + Duration::from_secs(3)).is_empty());
 }
 
 #[test]
-fn what_a_listing_lacks_is_missing_unless_it_is_newer() {
+fn a_key_that_a_listing_lacks_is_missing_unless_its_record_is_newer() {
     let mut mirror = Mirror::default();
     mirror.apply(&put("servers/a", 1, "x"), NOW);
     mirror.apply(&put("servers/b", 9, "x"), NOW);
@@ -69,10 +69,10 @@
 }
 
 #[test]
-fn old_removals_are_forgotten() {
+fn expired_tombstones_are_dropped() {
     let mut mirror = Mirror::default();
     mirror.apply(&put("a", 1, "x"), NOW);
-    mirror.apply(&gone("a", 2), NOW);
+    mirror.apply(&removal("a", 2), NOW);
     assert_eq!(mirror.records().count(), 1);
     mirror.expire(NOW + Duration::from_secs(121));
     assert_eq!(mirror.records().count(), 0);
