--- a/decision/src/home/keeper.rs
+++ b/decision/src/home/keeper.rs
@@ -302,8 +302,8 @@
         self.rules.lease
     }
 
-    /// As a witness: returns the homes that have not asked for a promise for [`SILENT_LEASES`].
-    /// A home that merely cannot reach this witness replaces it before that time.
+    /// As a witness: returns the homes that have not asked for a promise for `SILENT_LEASES`
+    /// leases. A home that merely cannot reach this witness replaces it before that time.
     pub fn silent_homes(&self, now: clock::Instant) -> Vec<table::Holder> {
         let limit = self.rules.lease * SILENT_LEASES;
         let silent = self.renewed.iter().filter(|(_, at)| now.since(**at) > limit);
