--- a/decision/src/admission.rs
+++ b/decision/src/admission.rs
@@ -264,7 +264,7 @@
     pub fn latest_dispatch(&self, pool: entity::Pool, begin_by: clock::Instant) -> clock::Instant {
         let first_byte = self.pools.get(&pool).and_then(|queue| queue.first_byte);
         let (mean, deviation) = first_byte.unwrap_or_default();
-        begin_by.before(Duration::from_secs_f64(mean + FIRST_BYTE_DEVIATIONS * deviation))
+        begin_by.saturating_sub(Duration::from_secs_f64(mean + FIRST_BYTE_DEVIATIONS * deviation))
     }
 
     /// Records whether all backend servers of the pool are full, as seen by an
--- a/decision/src/balancer/rest.rs
+++ b/decision/src/balancer/rest.rs
@@ -156,7 +156,9 @@
         let spacing = limits.map_or(Duration::ZERO, |limits| limits.spacing);
         for late in self.queue.remove_late(pool, until, spacing) {
             let reason = match limits {
-                Some(limits) => Reason::Limited(self.queue.reserve_return(pool, limits.even_spacing, now)),
+                Some(limits) => {
+                    Reason::Limited(self.queue.reserve_return(pool, limits.even_spacing, now))
+                }
                 None => Reason::Resting(until.since(now)),
             };
             self.reject_pending(late.ticket, Outcome::NotRun, reason, actions);
--- a/decision/src/outage.rs
+++ b/decision/src/outage.rs
@@ -59,7 +59,7 @@
     /// Newest epoch that a rank reports.
     pub epoch: u64,
     /// Whether the group is open or broken in that epoch.
-    pub state: fleet::Standing,
+    pub state: fleet::State,
     /// Number of ranks that report this epoch and state, and number of ranks of the group.
     pub ranks: (u32, u32),
 }
@@ -74,7 +74,7 @@
             std::cmp::Ordering::Equal if self.state == other.state => {
                 Status { ranks: (self.ranks.0 + other.ranks.0, self.ranks.1), ..self }
             }
-            std::cmp::Ordering::Equal if other.state == fleet::Standing::Broken => other,
+            std::cmp::Ordering::Equal if other.state == fleet::State::Broken => other,
             std::cmp::Ordering::Equal => self,
         }
     }
@@ -82,7 +82,7 @@
     /// Returns whether all ranks are running again and report that the group is
     /// broken. The group then forms again.
     fn is_forming(&self) -> bool {
-        self.state == fleet::Standing::Broken && self.ranks.0 >= self.ranks.1
+        self.state == fleet::State::Broken && self.ranks.0 >= self.ranks.1
     }
 }
 
@@ -151,13 +151,13 @@
         self.forming_since = status.is_forming().then(|| self.forming_since.unwrap_or(now));
         let ended = self.ended_epoch >= Some(status.epoch);
         match status.state {
-            fleet::Standing::Broken if ended => None,
-            fleet::Standing::Broken => {
+            fleet::State::Broken if ended => None,
+            fleet::State::Broken => {
                 self.ended_epoch = Some(status.epoch);
                 self.open(Ground::Told, now)
             }
-            fleet::Standing::Open if ended || self.ground == Some(Ground::Unreached) => None,
-            fleet::Standing::Open => self.close(now),
+            fleet::State::Open if ended || self.ground == Some(Ground::Unreached) => None,
+            fleet::State::Open => self.close(now),
         }
     }
 
--- a/decision/src/routing/rate.rs
+++ b/decision/src/routing/rate.rs
@@ -312,6 +312,6 @@
 
     /// Records that a request is sent.
     pub fn sent(&mut self, now: clock::Instant) {
-        self.last = Some(self.next().max(now.before(MAX_CATCH_UP)).min(now));
+        self.last = Some(self.next().max(now.saturating_sub(MAX_CATCH_UP)).min(now));
     }
 }
