--- a/sidecar/src/parcel.rs
+++ b/sidecar/src/broadcast.rs
@@ -20,7 +20,7 @@
 
 /// A step and its messages.
 #[derive(Debug)]
-pub struct Parcel {
+pub struct Broadcast {
     /// The step.
     pub step: Step,
     message: wire::Step,
@@ -28,17 +28,17 @@
     whole: OnceLock<wire::Step>,
 }
 
-impl Parcel {
+impl Broadcast {
     /// Packs a step. Its map is the same to the letter for a rank that makes it
     /// of a difference, for this sidecar's own, and for one whose engine is told
     /// past its sidecar.
-    pub fn new(mut step: Step, source: Source) -> Parcel {
+    pub fn new(mut step: Step, source: Source) -> Broadcast {
         let mut message = message(&step);
         if let Order::Prepare { map, .. } = &mut step.order {
             *map = Arc::new(difference::canonical(map));
-            message.map = maps::message(&source.base, map, source.experts);
+            message.map = maps::encode(&source.base, map, source.experts);
         }
-        Parcel { step, message, source, whole: OnceLock::new() }
+        Broadcast { step, message, source, whole: OnceLock::new() }
     }
 
     /// The message for a rank that holds the map of before.
@@ -50,7 +50,7 @@
     pub fn whole(&self) -> &wire::Step {
         self.whole.get_or_init(|| {
             let map = match &self.step.order {
-                Order::Prepare { map, .. } => maps::whole(map, self.source.experts),
+                Order::Prepare { map, .. } => maps::encode_whole(map, self.source.experts),
                 _ => None,
             };
             wire::Step { map, ..self.message.clone() }
--- a/sidecar/src/codec.rs
+++ b/sidecar/src/codec.rs
@@ -2,7 +2,7 @@
 //! before it.
 
 /// Puts lists into one row of numbers.
-pub fn flatten<'a>(lists: impl IntoIterator<Item = &'a Vec<u16>>) -> Vec<u32> {
+pub fn encode<'a>(lists: impl IntoIterator<Item = &'a Vec<u16>>) -> Vec<u32> {
     let mut row = Vec::new();
     for list in lists {
         row.push(list.len() as u32);
@@ -12,7 +12,7 @@
 }
 
 /// Takes a row apart into lists; `None` where it is not well formed.
-pub fn lists(row: &[u32]) -> Option<Vec<Vec<u16>>> {
+pub fn decode(row: &[u32]) -> Option<Vec<Vec<u16>>> {
     let mut lists = Vec::new();
     let mut rest = row;
     while let Some((length, tail)) = rest.split_first() {
--- a/sidecar/src/demand.rs
+++ b/sidecar/src/demand.rs
@@ -2,7 +2,7 @@
 
 /// What is left of the demand after one interval: a shift of demand shows
 /// within two or three, while single requests do not move it much.
-const KEPT: f64 = 0.55;
+const DECAY: f64 = 0.55;
 
 /// The demand, set by set.
 #[derive(Debug, Default)]
@@ -15,7 +15,7 @@
 impl Demand {
     /// Takes how often experts were chosen in an interval; nothing where no rank
     /// could tell.
-    pub fn take(&mut self, counts: &[u32]) {
+    pub fn add(&mut self, counts: &[u32]) {
         if counts.is_empty() {
             return;
         }
@@ -24,12 +24,12 @@
         }
         self.newest = counts.iter().map(|count| f64::from(*count)).collect();
         for (load, newest) in self.load.iter_mut().zip(&self.newest) {
-            *load = *load * KEPT + newest;
+            *load = *load * DECAY + newest;
         }
     }
 
     /// Forgets all but the last interval: demand has shifted since.
-    pub fn restart(&mut self) {
+    pub fn reset(&mut self) {
         self.load.clone_from(&self.newest);
     }
 
@@ -39,7 +39,7 @@
     }
 
     /// Demand of the experts of a set, where each has so many.
-    pub fn set(&self, set: usize, experts: usize) -> &[f64] {
+    pub fn smoothed(&self, set: usize, experts: usize) -> &[f64] {
         self.load.get(set * experts..(set + 1) * experts).unwrap_or_default()
     }
 
--- a/sidecar/src/drive/change.rs
+++ b/sidecar/src/drive/change.rs
@@ -11,18 +11,18 @@
 use loftcove_interface::store::Store;
 use loftcove_wire as wire;
 
-use crate::drive::{Driver, MAX_HOLDS, PREPARE_TIME, Plan, Stopped};
-use crate::group::{self, Carried};
-use crate::known::{self, Known};
-use crate::parcel::Parcel;
+use crate::broadcast::Broadcast;
+use crate::drive::{Driver, MAX_HOLDS, PREPARE_TIMEOUT, Plan, Stopped};
+use crate::group::{self, Answer};
 use crate::rank::Step;
+use crate::state::{self, State};
 
 impl<P: Protocol, S: Store, E: Engine> Driver<P, S, E> {
     /// Takes a change to its end.
-    pub(super) async fn change(
+    pub(super) async fn run_change(
         &self,
         term: u64,
-        known: &mut Known,
+        state: &mut State,
         mut switch: Switch,
         plan: &Plan,
     ) -> Result<switch::Outcome, Stopped> {
@@ -39,22 +39,22 @@
                 if holds > MAX_HOLDS {
                     break switch::Outcome::Abandoned;
                 }
-                switch.hold(report.pass + known.ahead());
+                switch.hold(report.pass + state.lead());
                 held = boot::Instant::now();
             }
-            self.phase(term, known, &mut switch, plan).await?;
-            if !switch.committed() && begun.elapsed() > PREPARE_TIME + known.copying * 2 {
+            self.run_phase(term, state, &mut switch, plan).await?;
+            if !switch.committed() && begun.elapsed() > PREPARE_TIMEOUT + state.copy_time * 2 {
                 break switch::Outcome::Abandoned;
             }
         };
         let time = begun.elapsed();
         if holds > 0 {
             self.metrics.held.observe(held.elapsed().as_secs_f64());
-            known.arm_time = held.elapsed().max(known.arm_time.mul_f64(known::ARM_TIME_KEPT));
+            state.arm_time = held.elapsed().max(state.arm_time.mul_f64(state::ARM_TIME_DECAY));
         }
         log::info!(
             "map change outcome={outcome:?} term={term} epoch={} version={} pass={} holds={holds} ms={}",
-            known.view.epoch,
+            state.view.epoch,
             switch.version(),
             switch.pass(),
             time.as_millis()
@@ -68,37 +68,37 @@
     }
 
     /// Gives the orders of the present phase and takes their effects.
-    async fn phase(
+    async fn run_phase(
         &self,
         term: u64,
-        known: &Known,
+        state: &State,
         switch: &mut Switch,
         plan: &Plan,
     ) -> Result<(), Stopped> {
-        let epoch = known.view.epoch;
+        let epoch = state.view.epoch;
         let orders = switch.orders();
         // All orders of a phase are the same.
         let Some(order) = orders.first().map(|(_, order)| *order) else { return Ok(()) };
-        let group = known.view.group.clone();
+        let group = state.view.group.clone();
         let step = Step { group, term, epoch, order: group::order(order, &plan.map) };
-        let parcel = Parcel::new(step, plan.source.clone());
+        let broadcast = Broadcast::new(step, plan.source.clone());
         let ranks: BTreeMap<SocketAddr, usize> =
-            orders.iter().map(|(rank, _)| (known.view.ranks[*rank], *rank)).collect();
+            orders.iter().map(|(rank, _)| (state.view.ranks[*rank], *rank)).collect();
         let engines: Vec<SocketAddr> = ranks.keys().copied().collect();
         let parts = self.group.parts(&engines).into_iter();
         let parts = parts.map(|part| part.into_iter().map(|place| engines[place]).collect());
         let begun = boot::Instant::now();
         let mut running: FuturesUnordered<_> =
-            parts.map(|part| self.group.deliver(&self.rank, part, &parcel)).collect();
+            parts.map(|part| self.group.deliver(&self.rank, part, &broadcast)).collect();
         while let Some(delivered) = running.next().await {
             for (engine, carried) in delivered {
-                take(switch, (ranks[&engine], order), carried, epoch)?;
+                apply(switch, (ranks[&engine], order), carried, epoch)?;
             }
         }
         log::info!(
             "phase ended order={order:?} ranks={} map_bytes={} ms={}",
             engines.len(),
-            parcel.map_bytes(),
+            broadcast.map_bytes(),
             begun.elapsed().as_millis()
         );
         Ok(())
@@ -106,10 +106,10 @@
 }
 
 /// Takes what came of an order at a rank.
-fn take(
+fn apply(
     switch: &mut Switch,
     (rank, order): (usize, switch::Order),
-    carried: Carried,
+    carried: Answer,
     epoch: u64,
 ) -> Result<(), Stopped> {
     if carried.condition.is_some_and(|condition| condition.epoch != epoch) {
--- a/sidecar/src/drive/learn.rs
+++ b/sidecar/src/drive/discover.rs
@@ -13,9 +13,11 @@
 use loftcove_mirror::membership;
 use loftcove_wire as wire;
 
-use crate::drive::{Driver, PUBLISH_PAUSE, Plan, SAMPLE, SLOW, SLOWNESS_ROUNDS, Stopped};
+use crate::drive::{
+    Driver, MIN_SLOWNESS, PUBLISH_PAUSE, Plan, SAMPLE_SIZE, SLOWNESS_ROUNDS, Stopped,
+};
 use crate::group::{self, View};
-use crate::known::{self, Known};
+use crate::state::{self, State};
 
 impl<P: Protocol, S: Store, E: Engine> Driver<P, S, E> {
     /// Engines of this sidecar's service, with their zones.
@@ -26,7 +28,7 @@
     }
 
     /// What the configuration says of the engines and of their experts.
-    pub(super) fn experts(&self) -> Option<(route::Engine, route::Experts)> {
+    pub(super) fn engine_config(&self) -> Option<(route::Engine, route::Experts)> {
         let service = &self.settings.engine.service;
         let services = &self.catalog.config()?.services;
         let engine = services.iter().find(|other| other.name == *service)?.engine.clone()?;
@@ -36,16 +38,16 @@
 
     /// Learns which engine is which rank and what they hold, and ends what
     /// another driver has begun. Returns whether the whole group is known.
-    pub(super) async fn learn(
+    pub(super) async fn discover(
         &mut self,
         term: u64,
         place: &engine::Group,
-        known: &mut Known,
+        state: &mut State,
     ) -> Result<bool, Stopped> {
-        let ranks = self.find(term, place).await?;
+        let ranks = self.find_ranks(term, place).await?;
         let missing = ranks.iter().filter(|rank| rank.is_none()).count();
         if missing == 1 {
-            self.release_without(term, place, &ranks, known).await?;
+            self.release_without(term, place, &ranks, state).await?;
         }
         let Some(ranks) = ranks.into_iter().collect::<Option<Vec<_>>>() else {
             log::info!("group not known whole epoch={} missing={missing}", place.epoch);
@@ -53,33 +55,33 @@
         };
         let (addresses, conditions): (Vec<_>, Vec<_>) = ranks.into_iter().unzip();
         self.publish(place, &addresses);
-        known.view =
+        state.view =
             View { group: place.name.clone(), epoch: place.epoch, ranks: addresses, conditions };
         let states: Vec<switch::Condition> =
-            known.view.conditions.iter().map(group::condition).collect();
+            state.view.conditions.iter().map(group::condition).collect();
         if let Some(switch) = Switch::resume(&states) {
             log::warn!("change of an earlier driver found version={}", switch.version());
-            self.change(term, known, switch, &Plan::default()).await?;
-            known.view.ranks.clear();
+            self.run_change(term, state, switch, &Plan::default()).await?;
+            state.view.ranks.clear();
             return Ok(false);
         }
         if states.iter().any(|state| state.armed.is_some()) {
             // An earlier driver's change takes place at its pass.
-            known.view.ranks.clear();
+            state.view.ranks.clear();
             return Ok(false);
         }
-        Ok(known::take_map(known))
+        Ok(state::load_map(state))
     }
 
     /// Finds the engine of each rank: asks those that were its members before,
     /// and the service's others only where some are missing.
-    async fn find(
+    async fn find_ranks(
         &self,
         term: u64,
         place: &engine::Group,
     ) -> Result<Vec<Option<(SocketAddr, wire::Condition)>>, Stopped> {
         let engines = self.engines();
-        self.group.set(engines.clone());
+        self.group.set_engines(engines.clone());
         let group = place.name.to_string();
         let inspection = wire::Inspection { term, counts: false, experts: true, group };
         let before = membership::of(&self.mirror, &place.name);
@@ -130,12 +132,12 @@
         term: u64,
         place: &engine::Group,
         ranks: &[Option<(SocketAddr, wire::Condition)>],
-        known: &mut Known,
+        state: &mut State,
     ) -> Result<(), Stopped> {
-        let state = |rank: &Option<(SocketAddr, wire::Condition)>| {
+        let to_condition = |rank: &Option<(SocketAddr, wire::Condition)>| {
             rank.as_ref().map(|(_, condition)| group::condition(condition))
         };
-        let states: Vec<Option<switch::Condition>> = ranks.iter().map(state).collect();
+        let states: Vec<Option<switch::Condition>> = ranks.iter().map(to_condition).collect();
         let pass = ranks.iter().flatten().map(|(_, condition)| condition.pass).max();
         let Some(switch) = Switch::resume_without(&states, pass.unwrap_or(0)) else {
             return Ok(());
@@ -150,49 +152,49 @@
         let address = |rank: &Option<(SocketAddr, wire::Condition)>| {
             rank.as_ref().map_or(own, |(address, _)| *address)
         };
-        known.view.group = place.name.clone();
-        known.view.epoch = place.epoch;
-        known.view.ranks = ranks.iter().map(address).collect();
-        let ended = self.change(term, known, switch, &Plan::default()).await;
-        known.view.ranks.clear();
+        state.view.group = place.name.clone();
+        state.view.epoch = place.epoch;
+        state.view.ranks = ranks.iter().map(address).collect();
+        let ended = self.run_change(term, state, switch, &Plan::default()).await;
+        state.view.ranks.clear();
         ended.map(|_| ())
     }
 
     /// Reads the counts of a sample of the ranks.
-    pub(super) async fn count(&self, term: u64, slots: u32, known: &mut Known) {
-        let ranks = &known.view.ranks;
-        let stride = ranks.len().div_ceil(SAMPLE).max(1);
+    pub(super) async fn read_counts(&self, term: u64, slots: u32, state: &mut State) {
+        let ranks = &state.view.ranks;
+        let stride = ranks.len().div_ceil(SAMPLE_SIZE).max(1);
         let sample: Vec<SocketAddr> = ranks.iter().copied().step_by(stride).collect();
-        let group = known.view.group.to_string();
+        let group = state.view.group.to_string();
         let inspection = wire::Inspection { term, counts: true, experts: false, group };
         let survey = self.group.sum(&self.rank, &sample, &inspection).await;
-        let epoch = known.view.epoch;
+        let epoch = state.view.epoch;
         let conditions = survey.conditions.into_iter().map(|(_, condition)| condition);
         let same: Vec<wire::Condition> = conditions.filter(|c| c.epoch == epoch).collect();
         let requests: u32 = same.iter().map(|condition| condition.active + condition.queued).sum();
         let slots = slots * same.len() as u32;
-        known.fill = f64::from(requests) / f64::from(slots.max(1));
-        self.see_slowness(term, known, &same).await;
-        known.demand.take(&survey.counts);
+        state.fill = f64::from(requests) / f64::from(slots.max(1));
+        self.update_slowness(term, state, &same).await;
+        state.demand.add(&survey.counts);
     }
 
     /// Takes how slow ranks are: at each round those of the sample, and at some
     /// rounds all others.
-    async fn see_slowness(&self, term: u64, known: &mut Known, sample: &[wire::Condition]) {
-        let ranks = known.view.ranks.len();
-        known.slowness.resize(ranks, 1.0);
-        known.rounds += 1;
+    async fn update_slowness(&self, term: u64, state: &mut State, sample: &[wire::Condition]) {
+        let ranks = state.view.ranks.len();
+        state.slowness.resize(ranks, 1.0);
+        state.rounds += 1;
         let mut all = Vec::new();
-        if sample.len() < ranks && known.rounds >= SLOWNESS_ROUNDS {
-            known.rounds = 0;
-            let group = known.view.group.to_string();
+        if sample.len() < ranks && state.rounds >= SLOWNESS_ROUNDS {
+            state.rounds = 0;
+            let group = state.view.group.to_string();
             let inspection = wire::Inspection { term, counts: false, experts: false, group };
-            all = self.group.survey(&self.rank, &known.view.ranks, &inspection).await.conditions;
+            all = self.group.survey(&self.rank, &state.view.ranks, &inspection).await.conditions;
         }
         let others = all.iter().map(|(_, condition)| condition);
         for condition in sample.iter().chain(others) {
-            let Some(slowness) = known.slowness.get_mut(condition.rank as usize) else { continue };
-            let now = if condition.slowness < SLOW { 1.0 } else { condition.slowness };
+            let Some(slowness) = state.slowness.get_mut(condition.rank as usize) else { continue };
+            let now = if condition.slowness < MIN_SLOWNESS { 1.0 } else { condition.slowness };
             if (now - *slowness).abs() > f64::EPSILON {
                 log::info!("rank's speed changed rank={} slowness={now:.2}", condition.rank);
             }
--- a/sidecar/src/election.rs
+++ b/sidecar/src/election.rs
@@ -15,14 +15,14 @@
 /// How long the key outlasts a driver that died. No map changes meanwhile.
 const TTL: Duration = Duration::from_millis(2_500);
 /// Time between two renewals.
-const RENEWAL: Duration = Duration::from_millis(800);
+const RENEWAL_INTERVAL: Duration = Duration::from_millis(800);
 /// First pause after a renewal that failed; it doubles up to the time between
 /// two. A renewal lost on a silent connection, which takes 0.7 s, and the next
 /// one come within the time that the key outlasts the one before.
-const RETRY: Duration = Duration::from_millis(100);
+const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
 /// Between the name of a host and the number of a run.
-const RUN_MARK: char = '#';
+const RUN_SEPARATOR: char = '#';
 
 /// The key of a group's driver.
 pub fn key(group: &str) -> Arc<str> {
@@ -40,14 +40,14 @@
 
 /// Name that a run of a sidecar drives by; each run has its own.
 pub fn run_name(host: &str) -> String {
-    format!("{host}{RUN_MARK}{:08x}", rand::random::<u32>())
+    format!("{host}{RUN_SEPARATOR}{:08x}", rand::random::<u32>())
 }
 
 /// Whether a group's driver was this host's sidecar, in an earlier run or in a term that
 /// it has left: its term need not run out.
-pub fn was_own(mirror: &Mirror, key: &str, name: &str) -> bool {
+pub fn is_own(mirror: &Mirror, key: &str, name: &str) -> bool {
     let Some(value) = mirror.record(key).and_then(|record| record.value) else { return false };
-    let host = |name: &str| name.rsplit_once(RUN_MARK).map(|(host, _)| host.to_owned());
+    let host = |name: &str| name.rsplit_once(RUN_SEPARATOR).map(|(host, _)| host.to_owned());
     let driver = std::str::from_utf8(&value).unwrap_or_default();
     host(driver).is_some() && host(driver) == host(name)
 }
@@ -60,18 +60,18 @@
 /// Tries to become driver, once, in the place of the one whose key has the
 /// revision `known`; zero where there is none. `name` tells this run of this
 /// host from all others.
-pub async fn stand<S: Store>(
+pub async fn campaign<S: Store>(
     store: &S,
     mirror: &Mirror,
     group: &str,
     name: &str,
-    known: store::Revision,
+    held_revision: store::Revision,
 ) -> Result<Option<Term>, store::Error> {
     let lease = store.grant(TTL).await?;
     let write = store::Write {
         key: key(group),
         value: Some(name.to_owned().into()),
-        expected: Some(known),
+        expected: Some(held_revision),
         lease: Some(lease),
     };
     match store.write(&write).await {
@@ -82,7 +82,7 @@
         // The write may have been done: the copy of the store will show it.
         Err(store::Error::Lost(reason)) => {
             log::warn!("election unsettled group={group} reason=\"{reason}\" next=read-back");
-            tokio::time::sleep(RENEWAL).await;
+            tokio::time::sleep(RENEWAL_INTERVAL).await;
             let own = mirror.record(&key(group)).filter(|record| {
                 record.value.as_ref().is_some_and(|value| value == name.as_bytes())
             });
@@ -102,12 +102,12 @@
     /// When the last one was sent that came to an end.
     last: watch::Sender<boot::Mark>,
     /// Asks for one now.
-    wanted: Notify,
+    requested: Notify,
 }
 
 impl Default for Renewals {
     fn default() -> Renewals {
-        Renewals { last: watch::Sender::new(boot::Mark::now()), wanted: Notify::new() }
+        Renewals { last: watch::Sender::new(boot::Mark::now()), requested: Notify::new() }
     }
 }
 
@@ -119,7 +119,7 @@
         let Some(time) = self.last.borrow().suspended_for() else { return false };
         log::warn!("host suspended ms={} next=renew", time.as_millis());
         let mut last = self.last.subscribe();
-        self.wanted.notify_one();
+        self.requested.notify_one();
         // Both end together with the driver.
         last.changed().await.unwrap_or_default();
         true
@@ -129,7 +129,7 @@
 /// Renews a term; returns when it is over. Where the store does not answer,
 /// the term goes on: nobody else can have begun one without the store, and if
 /// somebody has, sidecars refuse this one's orders.
-pub async fn keep<S: Store>(
+pub async fn renew<S: Store>(
     store: &S,
     mirror: &Mirror,
     group: &str,
@@ -137,8 +137,8 @@
     renewals: &Renewals,
 ) {
     let mut changes = mirror.subscribe();
-    let mut away = false;
-    let mut pause = RENEWAL;
+    let mut store_lost = false;
+    let mut pause = RENEWAL_INTERVAL;
     loop {
         if revision(mirror, &key(group)).ordinal() > term.number {
             return;
@@ -151,23 +151,23 @@
         renewals.last.send_replace(sent);
         match kept {
             Ok(_) => {
-                pause = RENEWAL;
-                if std::mem::take(&mut away) {
+                pause = RENEWAL_INTERVAL;
+                if std::mem::take(&mut store_lost) {
                     log::info!("dependency regained name=store");
                 }
             }
             Err(error) => {
-                pause = if away { (pause * 2).min(RENEWAL) } else { RETRY };
+                pause = if store_lost { (pause * 2).min(RENEWAL_INTERVAL) } else { RETRY_PAUSE };
                 // Heeded no longer than until the next renewal: the term hangs on it.
-                pause = pause.max(error.rest().min(RENEWAL));
-                if !std::mem::replace(&mut away, true) {
+                pause = pause.max(error.rest().min(RENEWAL_INTERVAL));
+                if !std::mem::replace(&mut store_lost, true) {
                     log::warn!("dependency lost name=store error=\"{error}\"");
                 }
             }
         }
         tokio::select! {
             () = tokio::time::sleep(pause) => {}
-            () = renewals.wanted.notified() => {}
+            () = renewals.requested.notified() => {}
             _ = changes.changed() => {}
         }
     }
--- a/sidecar/src/group.rs
+++ b/sidecar/src/group.rs
@@ -13,8 +13,8 @@
 use loftcove_mirror::peer;
 use loftcove_wire as wire;
 
+use crate::broadcast::Broadcast;
 use crate::member::{self, Member};
-use crate::parcel::Parcel;
 use crate::rank::{self, Rank};
 use crate::relay::{self, Errand, Work};
 
@@ -30,7 +30,7 @@
 const SUM_PARTS: usize = 4;
 /// Time within which a relay begins its answer. It takes a millisecond or two;
 /// one that is gone must cost less than a tenth of a second.
-const RELAY_TIME: Duration = Duration::from_millis(80);
+const RELAY_TIMEOUT: Duration = Duration::from_millis(80);
 /// Relays that are tried for a part until its ranks are asked one by one.
 const RELAY_TRIES: usize = 2;
 /// How long a relay that was silent is passed over.
@@ -78,7 +78,7 @@
     }
 
     /// Takes the addresses of the engines with their zones, and forgets others.
-    pub fn set(&self, engines: BTreeMap<SocketAddr, Arc<str>>) {
+    pub fn set_engines(&self, engines: BTreeMap<SocketAddr, Arc<str>>) {
         lock(&self.members).retain(|address, _| engines.contains_key(address));
         lock(&self.silent).retain(|address, _| engines.contains_key(address));
         *lock(&self.zones) = engines;
@@ -98,7 +98,7 @@
             }
         };
         let client = wire::rank_client::RankClient::new(endpoint.connect_lazy());
-        let engine = Rank::afar((self.connect)(address));
+        let engine = Rank::remote((self.connect)(address));
         let member = Arc::new(Member { client, engine });
         Some(lock(&self.members).entry(address).or_insert(member).clone())
     }
@@ -119,7 +119,7 @@
 
     /// Asks some ranks for their state, all at once; those that do not answer
     /// are left out.
-    async fn inspect(
+    async fn inspect_directly(
         &self,
         local: &Rank<E>,
         engines: &[SocketAddr],
@@ -173,7 +173,7 @@
             .collect();
         let mut survey = Survey::default();
         while let Some(part) = parts.next().await {
-            relay::add(&mut survey.counts, &part.counts);
+            relay::add_counts(&mut survey.counts, &part.counts);
             survey.conditions.extend(part.conditions);
         }
         survey
@@ -190,13 +190,14 @@
         let mut take = |engine, finding: wire::Finding| {
             survey.conditions.extend(finding.condition.map(|condition| (engine, condition)));
         };
-        let (left, counts) = self.serve(&part, &work, member::INSPECT_TIMEOUT, &mut take).await;
+        let (left, counts) =
+            self.serve_by_relay(&part, &work, member::INSPECT_TIMEOUT, &mut take).await;
         survey.counts = counts;
         // Where experts are not asked for, the next look will do.
         let direct = part.len() == 1 || inspection.experts;
         let left = if direct { left } else { Vec::new() };
-        for (engine, mut condition) in self.inspect(local, &left, inspection).await {
-            relay::add(&mut survey.counts, &std::mem::take(&mut condition.counts));
+        for (engine, mut condition) in self.inspect_directly(local, &left, inspection).await {
+            relay::add_counts(&mut survey.counts, &std::mem::take(&mut condition.counts));
             survey.conditions.push((engine, condition));
         }
         survey
@@ -209,32 +210,32 @@
         &self,
         local: &Rank<E>,
         part: Vec<SocketAddr>,
-        parcel: &Parcel,
-    ) -> Vec<(SocketAddr, Carried)> {
-        let limit = member::limit(&parcel.step.order);
+        broadcast: &Broadcast,
+    ) -> Vec<(SocketAddr, Answer)> {
+        let limit = member::order_timeout(&broadcast.step.order);
         let mut all = Vec::new();
-        let mut lacking = Vec::new();
+        let mut base_missing = Vec::new();
         let mut take = |engine, finding: wire::Finding| match finding.effect() {
-            wire::Effect::BaseMissing => lacking.push(engine),
-            effect => all.push((engine, Carried::new(effect, finding.condition))),
+            wire::Effect::BaseMissing => base_missing.push(engine),
+            effect => all.push((engine, Answer::new(effect, finding.condition))),
         };
-        let work = Work::Step(parcel.message().clone());
-        let (mut left, _) = self.serve(&part, &work, limit, &mut take).await;
-        if !lacking.is_empty() {
+        let work = Work::Step(broadcast.message().clone());
+        let (mut left, _) = self.serve_by_relay(&part, &work, limit, &mut take).await;
+        if !base_missing.is_empty() {
             let mut take = |engine, finding: wire::Finding| {
-                all.push((engine, Carried::new(finding.effect(), finding.condition)));
+                all.push((engine, Answer::new(finding.effect(), finding.condition)));
             };
-            let work = Work::Step(parcel.whole().clone());
-            left.extend(self.serve(&lacking, &work, limit, &mut take).await.0);
+            let work = Work::Step(broadcast.whole().clone());
+            left.extend(self.serve_by_relay(&base_missing, &work, limit, &mut take).await.0);
         }
-        let carry = async |engine| (engine, self.carry(local, engine, parcel).await);
+        let carry = async |engine| (engine, self.carry(local, engine, broadcast).await);
         all.extend(future::join_all(left.into_iter().map(carry)).await);
         all
     }
 
     /// Has relays serve a part; returns the ranks that are left, and the sum of
     /// the counts.
-    async fn serve(
+    async fn serve_by_relay(
         &self,
         part: &[SocketAddr],
         work: &Work,
@@ -247,7 +248,7 @@
         let mut silent = Vec::new();
         while engines.len() > 1 && silent.len() < RELAY_TRIES {
             let errand = Errand { work: work.clone(), engines: engines.clone(), limit };
-            let Some(findings) = self.relayed(&errand).await else {
+            let Some(findings) = self.call_relay(&errand).await else {
                 silent.push(engines.remove(0));
                 continue;
             };
@@ -270,10 +271,10 @@
 
     /// Has the first rank of an errand run it; `None` where it does not begin
     /// its answer in time.
-    pub async fn relayed(&self, errand: &Errand) -> Option<wire::Findings> {
+    pub async fn call_relay(&self, errand: &Errand) -> Option<wire::Findings> {
         let relay = *errand.engines.first()?;
         let mut client = self.member(relay)?.client.clone();
-        let call = tokio::time::timeout(RELAY_TIME, client.relay(errand.message())).await;
+        let call = tokio::time::timeout(RELAY_TIMEOUT, client.relay(errand.message())).await;
         let mut stream = match call {
             Ok(Ok(answer)) => answer.into_inner(),
             other => {
@@ -287,7 +288,7 @@
         let read = async {
             while let Some(findings) = stream.message().await? {
                 all.findings.extend(findings.findings);
-                relay::add(&mut all.counts, &findings.counts);
+                relay::add_counts(&mut all.counts, &findings.counts);
             }
             Ok::<(), tonic::Status>(())
         };
@@ -304,7 +305,12 @@
 
     /// Does work at one rank by its sidecar; nothing is found where that does
     /// not answer.
-    pub async fn ask(&self, engine: SocketAddr, work: &Work, limit: Duration) -> wire::Findings {
+    pub async fn call_rank(
+        &self,
+        engine: SocketAddr,
+        work: &Work,
+        limit: Duration,
+    ) -> wire::Findings {
         let Some(member) = self.member(engine) else { return wire::Findings::default() };
         let mut client = member.client.clone();
         let call = async {
@@ -312,11 +318,11 @@
                 Work::Step(step) => client
                     .carry(step.clone())
                     .await
-                    .map(|result| relay::of_step(result.into_inner())),
+                    .map(|result| relay::step_findings(result.into_inner())),
                 Work::Inspection(inspection) => client
                     .inspect(inspection.clone())
                     .await
-                    .map(|condition| relay::of_inspection(condition.into_inner())),
+                    .map(|condition| relay::inspection_findings(condition.into_inner())),
             }
         };
         match tokio::time::timeout(limit, call).await {
@@ -330,28 +336,28 @@
     }
 
     /// Carries an order out at a rank, past its sidecar if that does not answer.
-    async fn carry(&self, local: &Rank<E>, engine: SocketAddr, parcel: &Parcel) -> Carried {
-        let step = &parcel.step;
+    async fn carry(&self, local: &Rank<E>, engine: SocketAddr, broadcast: &Broadcast) -> Answer {
+        let step = &broadcast.step;
         if engine == self.own {
             let (effect, report) = local.carry(step).await;
-            return Carried::new(effect, report.map(|report| rank::condition(0, &report)));
+            return Answer::new(effect, report.map(|report| rank::condition(0, &report)));
         }
         let Some(member) = self.member(engine) else {
-            return Carried::new(wire::Effect::Unknown, None);
+            return Answer::new(wire::Effect::Unknown, None);
         };
         // The driver gives this order itself: if its host freezes right after
         // it, the host that the group waits for is another one.
         if matches!(step.order, Order::Hold { .. })
-            && matches!(member.engine.give_unseen(step).await, Ok(Verdict::Accepted))
+            && matches!(member.engine.order_unchecked(step).await, Ok(Verdict::Accepted))
         {
-            return Carried::new(wire::Effect::Confirmed, None);
+            return Answer::new(wire::Effect::Confirmed, None);
         }
-        match member.carry(parcel).await {
-            Ok(result) => Carried::new(result.effect(), result.condition),
+        match member.carry(broadcast).await {
+            Ok(result) => Answer::new(result.effect(), result.condition),
             Err(cause) => {
                 log::info!("sidecar passed over engine={engine} cause=\"{cause}\"");
                 let (effect, report) = member.engine.carry(step).await;
-                Carried::new(effect, report.map(|report| rank::condition(0, &report)))
+                Answer::new(effect, report.map(|report| rank::condition(0, &report)))
             }
         }
     }
@@ -373,16 +379,16 @@
 
 /// What came of an order.
 #[derive(Debug)]
-pub struct Carried {
+pub struct Answer {
     /// Its effect.
     pub effect: wire::Effect,
     /// State of the engine after it.
     pub condition: Option<wire::Condition>,
 }
 
-impl Carried {
-    fn new(effect: wire::Effect, condition: Option<wire::Condition>) -> Carried {
-        Carried { effect, condition }
+impl Answer {
+    fn new(effect: wire::Effect, condition: Option<wire::Condition>) -> Answer {
+        Answer { effect, condition }
     }
 }
 
--- a/sidecar/src/lib.rs
+++ b/sidecar/src/lib.rs
@@ -7,22 +7,22 @@
 //! ([`plan`], by what is [`known`]) and takes all ranks over to a new map
 //! ([`drive`]), through [`group`]; in a large group by sidecars that pass on what
 //! is meant for others ([`relay`]). A map travels as its difference from one
-//! that the ranks hold ([`parcel`], [`maps`]). No request passes through a
+//! that the ranks hold ([`broadcast`], [`maps`]). No request passes through a
 //! sidecar.
 
+pub mod broadcast;
 pub mod codec;
 pub mod demand;
 mod drive;
 pub mod election;
 pub mod group;
-pub mod known;
 pub mod maps;
 pub mod member;
 mod metrics;
-pub mod parcel;
 pub mod plan;
 pub mod rank;
 pub mod relay;
+pub mod state;
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -41,9 +41,9 @@
 
 /// Gateways that a sidecar follows: with two, it hears of changes while one is
 /// cut off.
-const FOLLOWED: usize = 2;
+const FOLLOWERS: usize = 2;
 /// Longest time that a stopping driver may take to end a change it has begun.
-const STOP_TIME: Duration = Duration::from_secs(3);
+const STOP_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Why the sidecar could not run.
 #[derive(Debug, thiserror::Error)]
@@ -81,7 +81,7 @@
     let mirror: Arc<Mirror> = Arc::default();
     let own = follow::Own { name: host.name.clone(), zone: host.zone.clone(), address: None };
     let known = Arc::new(follow::Peers::new(own, host.seeds.clone()));
-    for follower in 0..FOLLOWED {
+    for follower in 0..FOLLOWERS {
         tokio::spawn(follow::run(mirror.clone(), known.clone(), follower));
     }
     let metrics: Arc<metrics::Metrics> = Arc::default();
@@ -110,7 +110,7 @@
     }
     log::info!("stopping host={}", host.name);
     stop.send_replace(true);
-    if tokio::time::timeout(STOP_TIME, &mut driver).await.is_err() {
+    if tokio::time::timeout(STOP_TIMEOUT, &mut driver).await.is_err() {
         log::warn!("stopped within a change of the map");
     }
     log::info!("stopped host={}", host.name);
--- a/sidecar/src/maps.rs
+++ b/sidecar/src/maps.rs
@@ -10,7 +10,7 @@
 
 /// Maps that are kept: the one in use, the one being prepared, and one that was
 /// abandoned between them. Each takes some 80 KB in a group of 192 ranks.
-const KEPT: usize = 3;
+const CAPACITY: usize = 3;
 /// Most lists of a map: sets times ranks, far more than any group has. The shape
 /// of a map that opens a group is taken from messages.
 const MAX_LISTS: usize = 1 << 18;
@@ -28,51 +28,51 @@
 
 /// Maps by their digests, the newest last.
 #[derive(Debug, Default)]
-pub struct Maps {
-    kept: VecDeque<(u64, Arc<Map>)>,
+pub struct Cache {
+    maps: VecDeque<(u64, Arc<Map>)>,
 }
 
-impl Maps {
+impl Cache {
     /// Makes the map that a message tells, for a group of so many ranks, and
     /// keeps it.
     ///
     /// # Errors
     ///
     /// An [`Error`] that tells whether another difference may do.
-    pub fn take(&mut self, message: &wire::Difference, ranks: usize) -> Result<Arc<Map>, Error> {
+    pub fn decode(&mut self, message: &wire::Difference, ranks: usize) -> Result<Arc<Map>, Error> {
         if let Some(map) = self.find(message.digest) {
             return Ok(map);
         }
-        let base = self.find(message.base).or_else(|| opening(message, ranks));
+        let base = self.find(message.base).or_else(|| initial(message, ranks));
         let base = base.ok_or(Error::BaseMissing)?;
         let map = Arc::new(difference::apply(&base, &message.changes, message.digest)?);
-        self.keep(message.digest, map.clone());
+        self.insert(message.digest, map.clone());
         Ok(map)
     }
 
     fn find(&self, digest: u64) -> Option<Arc<Map>> {
-        self.kept.iter().find(|(other, _)| *other == digest).map(|(_, map)| map.clone())
+        self.maps.iter().find(|(held, _)| *held == digest).map(|(_, map)| map.clone())
     }
 
-    fn keep(&mut self, digest: u64, map: Arc<Map>) {
-        if self.kept.len() == KEPT {
-            self.kept.pop_front();
+    fn insert(&mut self, digest: u64, map: Arc<Map>) {
+        if self.maps.len() == CAPACITY {
+            self.maps.pop_front();
         }
-        self.kept.push_back((digest, map));
+        self.maps.push_back((digest, map));
     }
 }
 
 /// The map that the group opened with, if it is the base of a message.
-fn opening(message: &wire::Difference, ranks: usize) -> Option<Arc<Map>> {
+fn initial(message: &wire::Difference, ranks: usize) -> Option<Arc<Map>> {
     let (sets, experts) = (message.sets as usize, message.experts as usize);
-    let sound = sets.checked_mul(ranks)? <= MAX_LISTS && experts <= usize::from(u16::MAX) + 1;
-    let map = sound.then(|| difference::round_robin(sets, experts, ranks))?;
+    let plausible = sets.checked_mul(ranks)? <= MAX_LISTS && experts <= usize::from(u16::MAX) + 1;
+    let map = plausible.then(|| difference::round_robin(sets, experts, ranks))?;
     (difference::digest(&map) == message.base).then(|| Arc::new(map))
 }
 
 /// A map as a message that a rank with `base` understands; `None` where the two
 /// differ in shape.
-pub fn message(base: &Map, map: &Map, experts: usize) -> Option<wire::Difference> {
+pub fn encode(base: &Map, map: &Map, experts: usize) -> Option<wire::Difference> {
     Some(wire::Difference {
         base: difference::digest(base),
         digest: difference::digest(map),
@@ -83,7 +83,7 @@
 }
 
 /// A map as a message that every rank understands.
-pub fn whole(map: &Map, experts: usize) -> Option<wire::Difference> {
+pub fn encode_whole(map: &Map, experts: usize) -> Option<wire::Difference> {
     let ranks = map.first()?.len();
-    message(&difference::round_robin(map.len(), experts, ranks), map, experts)
+    encode(&difference::round_robin(map.len(), experts, ranks), map, experts)
 }
--- a/sidecar/src/member.rs
+++ b/sidecar/src/member.rs
@@ -9,7 +9,7 @@
 use tokio::time::error::Elapsed;
 use tonic::transport::Channel;
 
-use crate::parcel::Parcel;
+use crate::broadcast::Broadcast;
 use crate::rank::{self, Rank};
 
 /// Longest wait for a connection.
@@ -18,7 +18,7 @@
 pub const INSPECT_TIMEOUT: Duration = Duration::from_millis(300);
 /// Wait for a sidecar's state after which its engine is asked as well: a group
 /// that is held should not wait for both, one after the other.
-const HEDGE_TIME: Duration = Duration::from_millis(120);
+const HEDGE_DELAY: Duration = Duration::from_millis(120);
 /// Longest wait for a sidecar to have a map prepared; longer than it takes
 /// until it says that the effect is not known.
 const PREPARE_TIMEOUT: Duration = Duration::from_millis(1_600);
@@ -51,7 +51,7 @@
             return sidecar.await;
         }
         tokio::pin!(sidecar);
-        match tokio::time::timeout(HEDGE_TIME, sidecar.as_mut()).await {
+        match tokio::time::timeout(HEDGE_DELAY, sidecar.as_mut()).await {
             Ok(Some(condition)) => Some(condition),
             Ok(None) => self.inspect_engine(address, inspection).await,
             Err(_) => {
@@ -64,12 +64,12 @@
 
     /// Has the sidecar carry a step out, told by the whole map where it does not
     /// hold the one of before.
-    pub async fn carry(&self, parcel: &Parcel) -> Result<wire::Result, String> {
-        let result = self.carry_message(parcel.message(), &parcel.step.order).await?;
+    pub async fn carry(&self, broadcast: &Broadcast) -> Result<wire::Result, String> {
+        let result = self.carry_message(broadcast.message(), &broadcast.step.order).await?;
         if result.effect() != wire::Effect::BaseMissing {
             return Ok(result);
         }
-        self.carry_message(parcel.whole(), &parcel.step.order).await
+        self.carry_message(broadcast.whole(), &broadcast.step.order).await
     }
 
     async fn carry_message(
@@ -78,7 +78,7 @@
         order: &Order,
     ) -> Result<wire::Result, String> {
         let mut client = self.client.clone();
-        match tokio::time::timeout(limit(order), client.carry(message.clone())).await {
+        match tokio::time::timeout(order_timeout(order), client.carry(message.clone())).await {
             Ok(Ok(result)) => Ok(result.into_inner()),
             other => Err(cause(other)),
         }
@@ -103,7 +103,7 @@
 }
 
 /// Longest wait for a sidecar to carry out an order.
-pub fn limit(order: &Order) -> Duration {
+pub fn order_timeout(order: &Order) -> Duration {
     match order {
         Order::Prepare { .. } => PREPARE_TIMEOUT,
         _ => ORDER_TIMEOUT,
--- a/sidecar/src/plan.rs
+++ b/sidecar/src/plan.rs
@@ -8,51 +8,51 @@
 use loftcove_decision::route;
 use loftcove_interface::engine::Map;
 
-use crate::known::Known;
+use crate::state::State;
 
 /// Choices that a set's demand must rest on, for each expert.
-const LEAST_CHOICES: f64 = 12.0;
+const MIN_CHOICES: f64 = 12.0;
 /// Least gain of a change, as a part of the ideal time of the experts' work,
 /// while the engines are idle and while they are full: a shorter pass brings more
 /// the more requests wait for it. This and the pairs below are guesses;
 /// `docs/POLICY.md` has what other values bring.
-const LEAST_GAIN: (f64, f64) = (0.30, 0.10);
+const MIN_GAIN: (f64, f64) = (0.30, 0.10);
 /// Part by which passes take longer while ranks copy, as the engines' protocol
 /// tells.
 const COPY_SLOWDOWN: f64 = 0.15;
 /// Peak at which the search for a set ends, while the engines are idle and
 /// while they are full.
-const EVEN: (f64, f64) = (1.50, 1.06);
+const TARGET_PEAK: (f64, f64) = (1.50, 1.06);
 /// Least gain of one move of the search, while the engines are idle and while
 /// they are full.
-const LEAST_MOVE: (f64, f64) = (0.06, 0.02);
+const MIN_MOVE_GAIN: (f64, f64) = (0.06, 0.02);
 /// Time of a copy where the bandwidth is not published.
-const UNKNOWN_COPY_TIME: Duration = Duration::from_millis(200);
-const BITS_OF_A_BYTE: f64 = 8.0;
+const DEFAULT_COPY_TIME: Duration = Duration::from_millis(200);
+const BITS_PER_BYTE: f64 = 8.0;
 /// How much higher the peak must be by the last interval than by the demand
 /// before for the demand to count as shifted.
-const SHIFT: f64 = 0.25;
+const SHIFT_RISE: f64 = 0.25;
 
 /// Requests on the engines, as a part of their slots, up to which these count
-/// as idle, and from which as full. A guess, see [`LEAST_GAIN`].
-const FILL: (f64, f64) = (0.5, 0.75);
+/// as idle, and from which as full. A guess, see [`MIN_GAIN`].
+const FILL_RANGE: (f64, f64) = (0.5, 0.75);
 
 /// A value between that of idle and that of full engines.
-fn by_fill(fill: f64, (idle, full): (f64, f64)) -> f64 {
-    let part = ((fill - FILL.0) / (FILL.1 - FILL.0)).clamp(0.0, 1.0);
+fn interpolate(fill: f64, (idle, full): (f64, f64)) -> f64 {
+    let part = ((fill - FILL_RANGE.0) / (FILL_RANGE.1 - FILL_RANGE.0)).clamp(0.0, 1.0);
     idle + (full - idle) * part
 }
 
 /// Forgets the demand from before a shift, so that the next map is made for
 /// what is in demand now and not for a mixture.
-pub fn notice_shift(known: &mut Known, experts: &route::Experts) {
-    if known.map.len() != experts.sets {
+pub fn detect_shift(state: &mut State, experts: &route::Experts) {
+    if state.map.len() != experts.sets {
         return;
     }
-    let sets = known.map.iter().enumerate();
+    let sets = state.map.iter().enumerate();
     let rise = sets.map(|(set, ranks)| {
-        let newest = known.demand.newest(set, experts.count);
-        let before = known.demand.set(set, experts.count);
+        let newest = state.demand.newest(set, experts.count);
+        let before = state.demand.smoothed(set, experts.count);
         if newest.is_empty() {
             0.0
         } else {
@@ -61,17 +61,17 @@
         }
     });
     let rise = rise.sum::<f64>() / experts.sets as f64;
-    if rise > SHIFT {
-        log::info!("demand shifted epoch={} rise={rise:.2}", known.view.epoch);
-        known.demand.restart();
-        known.see_shift();
+    if rise > SHIFT_RISE {
+        log::info!("demand shifted epoch={} rise={rise:.2}", state.view.epoch);
+        state.demand.reset();
+        state.record_shift();
     }
 }
 
 /// Whether a change wins more time, until the demand is expected to shift again,
 /// than passes lose while it copies.
-fn pays(stage: &Stage, times: Times, phase: Duration) -> bool {
-    let left = phase.saturating_sub(stage.time).as_secs_f64();
+fn pays_off(stage: &Stage, times: Times, shift_interval: Duration) -> bool {
+    let left = shift_interval.saturating_sub(stage.time).as_secs_f64();
     let copying = stage.time.saturating_sub(times.switch).as_secs_f64();
     stage.gain() * left > COPY_SLOWDOWN * stage.peak.0 * copying
 }
@@ -80,13 +80,13 @@
 /// thread of its own: in a large group it takes a small host's processor longer
 /// than a renewal of the term, or a message to a rank, may wait.
 pub async fn decide(
-    known: &mut Known,
+    state: &mut State,
     engine: &route::Engine,
     experts: &route::Experts,
 ) -> Option<Stage> {
-    let task = Task::new(known, engine, experts)?;
+    let task = Search::new(state, engine, experts)?;
     let peak = task.peak();
-    if !known.worth_a_search(peak) {
+    if !state.should_search(peak) {
         return None;
     }
     let times = task.times;
@@ -98,16 +98,17 @@
         }
     };
     let change = stage.as_ref().is_some_and(|stage| {
-        stage.gain() >= by_fill(known.fill, LEAST_GAIN) && pays(stage, times, known.phase())
+        stage.gain() >= interpolate(state.fill, MIN_GAIN)
+            && pays_off(stage, times, state.shift_interval())
     });
-    known.searched(peak, change);
+    state.record_search(peak, change);
     let stage = stage?;
     log::info!(
         "placement epoch={} choices={:.0} fill={:.2} pass_ms={} peak={:.3} reachable={:.3} copies={} deepest={} expected_ms={} change={change}",
-        known.view.epoch,
-        known.demand.total(),
-        known.fill,
-        known.pass_time.as_millis(),
+        state.view.epoch,
+        state.demand.total(),
+        state.fill,
+        state.pass_time.as_millis(),
         stage.peak.0,
         stage.peak.1,
         stage.copies.0,
@@ -118,7 +119,7 @@
 }
 
 /// What a search needs, apart from what goes on.
-struct Task {
+struct Search {
     map: Arc<Map>,
     /// Demand of the experts of each set.
     loads: Vec<Vec<f64>>,
@@ -128,25 +129,25 @@
     times: Times,
 }
 
-impl Task {
+impl Search {
     /// `None` where too little is known.
-    fn new(known: &Known, engine: &route::Engine, experts: &route::Experts) -> Option<Task> {
-        let least = LEAST_CHOICES * (experts.count * experts.sets) as f64;
-        if known.demand.total() < least || known.map.len() != experts.sets {
+    fn new(state: &State, engine: &route::Engine, experts: &route::Experts) -> Option<Search> {
+        let least = MIN_CHOICES * (experts.count * experts.sets) as f64;
+        if state.demand.total() < least || state.map.len() != experts.sets {
             return None;
         }
-        let load = |set| known.demand.set(set, experts.count).to_vec();
+        let load = |set| state.demand.smoothed(set, experts.count).to_vec();
         let loads: Vec<Vec<f64>> = (0..experts.sets).map(load).collect();
-        loads.iter().all(|load| !load.is_empty()).then(|| Task {
-            map: known.map.clone(),
+        loads.iter().all(|load| !load.is_empty()).then(|| Search {
+            map: state.map.clone(),
             loads,
-            slowness: known.slowness.clone(),
+            slowness: state.slowness.clone(),
             bounds: spread::Bounds { placements: experts.placements, spare: experts.spare },
             goal: spread::Goal {
-                target_peak: by_fill(known.fill, EVEN),
-                min_gain: by_fill(known.fill, LEAST_MOVE),
+                target_peak: interpolate(state.fill, TARGET_PEAK),
+                min_gain: interpolate(state.fill, MIN_MOVE_GAIN),
             },
-            times: Times { copy: copy_time(engine, experts), switch: known.switch_time() },
+            times: Times { copy: copy_time(engine, experts), switch: state.switch_time() },
         })
     }
 
@@ -170,7 +171,7 @@
 /// Time in which a rank copies one expert.
 fn copy_time(engine: &route::Engine, experts: &route::Experts) -> Duration {
     if engine.copy_mbps <= 0.0 {
-        return UNKNOWN_COPY_TIME;
+        return DEFAULT_COPY_TIME;
     }
-    Duration::from_secs_f64(experts.size_mb * BITS_OF_A_BYTE / engine.copy_mbps)
+    Duration::from_secs_f64(experts.size_mb * BITS_PER_BYTE / engine.copy_mbps)
 }
--- a/sidecar/src/rank.rs
+++ b/sidecar/src/rank.rs
@@ -18,56 +18,56 @@
 use tonic::{Request, Response, Status};
 
 use crate::group::Group;
-use crate::maps::{self, Maps};
+use crate::maps;
 use crate::{codec, relay};
 
 /// Longest time for an order until the driver is told that its effect is not
 /// known. It asks again.
-const ORDER_TIME: Duration = Duration::from_millis(1_200);
+const ORDER_TIMEOUT: Duration = Duration::from_millis(1_200);
 /// Time between two looks whether a map has been copied.
 const COPY_POLL: Duration = Duration::from_millis(40);
 /// Time after which an order that was accepted and shows no effect is given
 /// again. One to prepare a map is left to the driver, who asks again.
-const REPEAT_TIME: Duration = Duration::from_millis(500);
+const REPEAT_DELAY: Duration = Duration::from_millis(500);
 /// Pause after an order that the engine did not answer or refused.
 const RETRY_PAUSE: Duration = Duration::from_millis(10);
 /// Longest pause after a report that failed; the pause doubles up to this while
 /// the engine refuses connections, which takes no time.
-const LONGEST_RETRY_PAUSE: Duration = Duration::from_millis(320);
+const MAX_RETRY_PAUSE: Duration = Duration::from_millis(320);
 
 /// Longest time between two looks at the counts for their difference to tell
 /// the present demand: a change of the map, during which nobody looks, takes
 /// less.
-const LOOK_TIME: Duration = Duration::from_secs(5);
+const MAX_SAMPLE_AGE: Duration = Duration::from_secs(5);
 
 /// The engine and the highest term that was seen of a driver of its group.
 pub struct Rank<E> {
     /// The engine.
     pub engine: E,
     fence: Mutex<fence::Fence>,
-    maps: Mutex<Maps>,
-    looked: Mutex<Option<Look>>,
+    maps: Mutex<maps::Cache>,
+    last_sample: Mutex<Option<Sample>>,
     /// Whether the engine's reports are fresh, as they are on its own machine.
     fresh: bool,
 }
 
 /// Counts that a driver has had.
-struct Look {
+struct Sample {
     at: boot::Instant,
     born: Option<u64>,
     counts: Vec<u64>,
 }
 
-impl Look {
+impl Sample {
     /// How often each expert was chosen from an earlier look to this one; none
     /// where the engine has started anew between them, and counts from zero.
-    fn since(&self, before: &Look) -> Option<Vec<u32>> {
+    fn since(&self, before: &Sample) -> Option<Vec<u32>> {
         if self.born != before.born || self.counts.len() != before.counts.len() {
             return None;
         }
         let pairs = self.counts.iter().zip(&before.counts);
-        let grown = pairs.map(|(now, before)| now.checked_sub(*before));
-        grown.map(|count| count.and_then(|count| u32::try_from(count).ok())).collect()
+        let growth = pairs.map(|(now, before)| now.checked_sub(*before));
+        growth.map(|count| count.and_then(|count| u32::try_from(count).ok())).collect()
     }
 }
 
@@ -92,25 +92,25 @@
 
     /// An engine on another machine, whose reports are old: orders do not
     /// count on the number of orders that they tell.
-    pub fn afar(engine: E) -> Rank<E> {
+    pub fn remote(engine: E) -> Rank<E> {
         Rank::with(engine, false)
     }
 
     fn with(engine: E, fresh: bool) -> Rank<E> {
-        let (fence, maps, looked) = Default::default();
-        Rank { engine, fence, maps, looked, fresh }
+        let (fence, maps, last_sample) = Default::default();
+        Rank { engine, fence, maps, last_sample, fresh }
     }
 
     /// How often each expert was chosen since a driver last looked; empty where
     /// nobody did for long.
-    async fn choices(&self) -> Result<Vec<u32>, Error> {
+    async fn count_growth(&self) -> Result<Vec<u32>, Error> {
         let Counts { counts, born, .. } = self.engine.counts().await?;
-        let now = Look { at: boot::Instant::now(), born, counts };
-        let mut looked = lock(&self.looked);
-        let before = looked.take().filter(|look| look.at.elapsed() < LOOK_TIME);
-        let grown = before.and_then(|before| now.since(&before));
-        *looked = Some(now);
-        Ok(grown.unwrap_or_default())
+        let now = Sample { at: boot::Instant::now(), born, counts };
+        let mut last_sample = lock(&self.last_sample);
+        let before = last_sample.take().filter(|sample| sample.at.elapsed() < MAX_SAMPLE_AGE);
+        let growth = before.and_then(|before| now.since(&before));
+        *last_sample = Some(now);
+        Ok(growth.unwrap_or_default())
     }
 
     /// The step that a message tells.
@@ -122,7 +122,7 @@
                 let report = self.engine.report().await.map_err(Fault::Engine)?;
                 let ranks = report.group.map_or(0, |group| group.size);
                 let map = message.map.clone().unwrap_or_default();
-                let map = lock(&self.maps).take(&map, ranks as usize);
+                let map = lock(&self.maps).decode(&map, ranks as usize);
                 Order::Prepare { version, map: map.map_err(Fault::Map)? }
             }
             wire::Operation::Arm => Order::Arm { version, pass },
@@ -155,7 +155,7 @@
 
     /// Takes a term of a driver of the engine's present group; returns the
     /// highest one seen. A term of zero claims nothing.
-    pub fn see(&self, group: &Arc<str>, term: u64) -> u64 {
+    pub fn observe(&self, group: &Arc<str>, term: u64) -> u64 {
         let mut fence = lock(&self.fence);
         let before = fence.observe(group, 0);
         let highest = fence.observe(group, term);
@@ -167,7 +167,7 @@
 
     /// Carries an order out.
     pub async fn carry(&self, step: &Step) -> (wire::Effect, Option<Report>) {
-        let end = boot::Instant::now() + ORDER_TIME;
+        let end = boot::Instant::now() + ORDER_TIMEOUT;
         let mut seen = None;
         let mut refusals = 0;
         let mut accepted: Option<boot::Instant> = None;
@@ -180,23 +180,23 @@
                         log::warn!("report failed order={:?} error=\"{error}\"", kind(&step.order));
                     }
                     tokio::time::sleep(pause).await;
-                    pause = (pause * 2).min(LONGEST_RETRY_PAUSE);
+                    pause = (pause * 2).min(MAX_RETRY_PAUSE);
                     continue;
                 }
             };
             seen = Some(report.clone());
             let own = report.group.as_ref().filter(|own| own.name == step.group);
-            if own.is_some_and(|own| self.see(&own.name, step.term) > step.term) {
+            if own.is_some_and(|own| self.observe(&own.name, step.term) > step.term) {
                 return (wire::Effect::Superseded, seen);
             }
-            match judge(step, &report) {
-                Standing::Shown => return (wire::Effect::Confirmed, seen),
-                Standing::Over => return (wire::Effect::Refused, seen),
-                Standing::Open if accepted.is_some_and(|at| under_way(&step.order, at)) => {
+            match progress(step, &report) {
+                Progress::Done => return (wire::Effect::Confirmed, seen),
+                Progress::Impossible => return (wire::Effect::Refused, seen),
+                Progress::Pending if accepted.is_some_and(|at| in_progress(&step.order, at)) => {
                     tokio::time::sleep(COPY_POLL).await;
                 }
-                Standing::Open => {
-                    match self.give(step, &report).await {
+                Progress::Pending => {
+                    match self.order_once(step, &report).await {
                         Ok(Verdict::Accepted) => accepted = Some(boot::Instant::now()),
                         Ok(Verdict::Conflict | Verdict::Refused(_)) => {
                             refusals += 1;
@@ -215,7 +215,7 @@
     }
 
     /// Gives the order once, without a look at the engine's state.
-    pub async fn give_unseen(&self, step: &Step) -> Result<Verdict, Error> {
+    pub async fn order_unchecked(&self, step: &Step) -> Result<Verdict, Error> {
         let verdict = self.engine.order(&step.order, step.epoch, None).await;
         log::info!(
             "order kind={} term={} epoch={} from=afar outcome={verdict:?}",
@@ -227,7 +227,7 @@
     }
 
     /// Gives the order once.
-    async fn give(&self, step: &Step, report: &Report) -> Result<Verdict, Error> {
+    async fn order_once(&self, step: &Step, report: &Report) -> Result<Verdict, Error> {
         let after = self.fresh.then_some(report.orders);
         let verdict = self.engine.order(&step.order, step.epoch, after).await;
         log::info!(
@@ -277,51 +277,51 @@
 
 /// How an order stands by the engine's report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Standing {
+enum Progress {
     /// The report shows its effect.
-    Shown,
+    Done,
     /// It can no longer be had.
-    Over,
+    Impossible,
     /// It is to be given.
-    Open,
+    Pending,
 }
 
 /// Whether an order that was accepted then may yet show its effect by itself:
 /// copying takes as long as it takes, and reports do not tell of it.
-fn under_way(order: &Order, accepted: boot::Instant) -> bool {
-    matches!(order, Order::Prepare { .. }) || accepted.elapsed() < REPEAT_TIME
+fn in_progress(order: &Order, accepted: boot::Instant) -> bool {
+    matches!(order, Order::Prepare { .. }) || accepted.elapsed() < REPEAT_DELAY
 }
 
-fn judge(step: &Step, report: &Report) -> Standing {
-    let Some(group) = &report.group else { return Standing::Over };
+fn progress(step: &Step, report: &Report) -> Progress {
+    let Some(group) = &report.group else { return Progress::Impossible };
     if group.name != step.group || group.epoch != step.epoch {
-        return Standing::Over;
+        return Progress::Impossible;
     }
     match &step.order {
         Order::Prepare { version, .. } => match report.prepared {
-            Some(prepared) if prepared == *version => Standing::Shown,
-            Some(prepared) if prepared > *version => Standing::Over,
-            _ if report.map >= *version => Standing::Over,
-            _ => Standing::Open,
+            Some(prepared) if prepared == *version => Progress::Done,
+            Some(prepared) if prepared > *version => Progress::Impossible,
+            _ if report.map >= *version => Progress::Impossible,
+            _ => Progress::Pending,
         },
         Order::Arm { version, pass } => match report.armed {
-            Some(armed) if armed == (*version, *pass) => Standing::Shown,
-            _ if report.map == *version => Standing::Shown,
-            _ if report.pass >= *pass => Standing::Over,
-            _ => Standing::Open,
+            Some(armed) if armed == (*version, *pass) => Progress::Done,
+            _ if report.map == *version => Progress::Done,
+            _ if report.pass >= *pass => Progress::Impossible,
+            _ => Progress::Pending,
         },
         Order::Disarm { version } => match report.armed {
-            Some((armed, _)) if armed == *version => Standing::Open,
-            _ => Standing::Shown,
+            Some((armed, _)) if armed == *version => Progress::Pending,
+            _ => Progress::Done,
         },
         Order::Hold { pass } => match report.held {
-            Some(held) if held == *pass => Standing::Shown,
-            _ if report.pass >= *pass => Standing::Over,
-            _ => Standing::Open,
+            Some(held) if held == *pass => Progress::Done,
+            _ if report.pass >= *pass => Progress::Impossible,
+            _ => Progress::Pending,
         },
         Order::Release { pass } => match report.held {
-            Some(held) if held == *pass => Standing::Open,
-            _ => Standing::Shown,
+            Some(held) if held == *pass => Progress::Pending,
+            _ => Progress::Done,
         },
     }
 }
@@ -385,18 +385,18 @@
     // A driver of another group learns only that this engine is not one of its.
     let term = own.map_or(0, |own| {
         let same = *own.name == *inspection.group;
-        rank.see(&own.name, if same { inspection.term } else { 0 })
+        rank.observe(&own.name, if same { inspection.term } else { 0 })
     });
     let mut condition = condition(term, &report);
     if condition.group != inspection.group {
         return Ok(condition);
     }
     if inspection.counts {
-        condition.counts = rank.choices().await?;
+        condition.counts = rank.count_growth().await?;
     }
     if inspection.experts {
         let (held, _) = rank.engine.lists().await?;
-        condition.experts = codec::flatten(&held.experts);
+        condition.experts = codec::encode(&held.experts);
     }
     Ok(condition)
 }
--- a/sidecar/src/relay.rs
+++ b/sidecar/src/relay.rs
@@ -76,7 +76,8 @@
         if message.engines.len() > MAX_ENGINES {
             return Err(Error::Engines);
         }
-        let engines = message.engines.iter().map(|bytes| address(bytes).ok_or(Error::Address));
+        let engines =
+            message.engines.iter().map(|bytes| decode_address(bytes).ok_or(Error::Address));
         let work = match (message.step, message.inspection) {
             (Some(step), _) => Work::Step(step),
             (None, Some(inspection)) => Work::Inspection(inspection),
@@ -98,13 +99,13 @@
         wire::Errand {
             step,
             inspection,
-            engines: self.engines.iter().map(octets).collect(),
+            engines: self.engines.iter().map(encode_address).collect(),
             limit_ms: self.limit.as_millis() as u32,
         }
     }
 }
 
-fn octets(address: &SocketAddr) -> Bytes {
+fn encode_address(address: &SocketAddr) -> Bytes {
     let mut octets = match address.ip() {
         IpAddr::V4(ip) => ip.octets().to_vec(),
         IpAddr::V6(ip) => ip.octets().to_vec(),
@@ -113,7 +114,7 @@
     octets.into()
 }
 
-fn address(octets: &[u8]) -> Option<SocketAddr> {
+fn decode_address(octets: &[u8]) -> Option<SocketAddr> {
     let (ip, port) = octets.split_last_chunk::<2>()?;
     let ip: IpAddr = match ip.len() {
         4 => Ipv4Addr::from(<[u8; 4]>::try_from(ip).ok()?).into(),
@@ -124,7 +125,7 @@
 }
 
 /// Adds choices up, rank by rank.
-pub fn add(sum: &mut Vec<u32>, counts: &[u32]) {
+pub fn add_counts(sum: &mut Vec<u32>, counts: &[u32]) {
     if sum.is_empty() {
         sum.resize(counts.len(), 0);
     }
@@ -191,7 +192,7 @@
     let collect = async {
         let mut found = parts(group, local, errand, limit);
         while let Some(findings) = found.next().await {
-            add(&mut all.counts, &findings.counts);
+            add_counts(&mut all.counts, &findings.counts);
             all.findings.extend(findings.findings);
         }
     };
@@ -228,11 +229,11 @@
 ) -> wire::Findings {
     let engines: Vec<SocketAddr> = part.iter().map(|place| errand.engines[*place]).collect();
     let mut findings = match engines[..] {
-        [engine] if engine == group.own() => here(local, &errand.work).await,
-        [engine] => group.ask(engine, &errand.work, limit).await,
+        [engine] if engine == group.own() => serve_own(local, &errand.work).await,
+        [engine] => group.call_rank(engine, &errand.work, limit).await,
         _ => {
             let errand = Errand { work: errand.work.clone(), engines, limit };
-            group.relayed(&errand).await.unwrap_or_default()
+            group.call_relay(&errand).await.unwrap_or_default()
         }
     };
     // Places are those of this errand.
@@ -244,15 +245,15 @@
 }
 
 /// Does the work at the engine beside this sidecar.
-async fn here<E: Engine>(local: &Rank<E>, work: &Work) -> wire::Findings {
+async fn serve_own<E: Engine>(local: &Rank<E>, work: &Work) -> wire::Findings {
     match work {
         Work::Step(step) => match local.carry_message(step).await {
-            Ok(result) => of_step(result),
+            Ok(result) => step_findings(result),
             // Said where it was found; the driver asks the rank itself.
             Err(_) => wire::Findings::default(),
         },
         Work::Inspection(inspection) => match rank::inspect(local, inspection).await {
-            Ok(condition) => of_inspection(condition),
+            Ok(condition) => inspection_findings(condition),
             Err(error) => {
                 log::info!("engine not inspected engine=own error=\"{error}\"");
                 wire::Findings::default()
@@ -262,7 +263,7 @@
 }
 
 /// What came of a step at one rank.
-pub fn of_step(result: wire::Result) -> wire::Findings {
+pub fn step_findings(result: wire::Result) -> wire::Findings {
     let epoch = result.condition.map(|condition| condition.epoch);
     let condition = epoch.map(|epoch| wire::Condition { epoch, ..wire::Condition::default() });
     let finding = wire::Finding { place: 0, effect: result.effect, condition };
@@ -270,7 +271,7 @@
 }
 
 /// What was read at one rank.
-pub fn of_inspection(mut condition: wire::Condition) -> wire::Findings {
+pub fn inspection_findings(mut condition: wire::Condition) -> wire::Findings {
     let counts = std::mem::take(&mut condition.counts);
     let finding = wire::Finding { condition: Some(condition), ..wire::Finding::default() };
     wire::Findings { findings: vec![finding], counts }
--- a/sidecar/tests/common/mod.rs
+++ b/sidecar/tests/common/mod.rs
@@ -37,7 +37,7 @@
     /// When it started, where it tells.
     pub born: Option<u64>,
     /// Orders that came past its sidecar.
-    pub from_afar: u64,
+    pub remote_orders: u64,
 }
 
 /// An engine that copies at once.
@@ -86,7 +86,7 @@
     async fn order(&self, order: &Order, _: u64, _: Option<u64>) -> Result<Verdict, Error> {
         let mut state = self.state.lock().unwrap();
         state.orders += 1;
-        state.from_afar += u64::from(!self.near);
+        state.remote_orders += u64::from(!self.near);
         match order {
             Order::Prepare { version, map } => state.prepared = Some((*version, map.clone())),
             Order::Arm { version, pass } => state.armed = Some((*version, *pass)),
@@ -153,7 +153,7 @@
     let mut driver = None;
     for rank in 0..size {
         let group = Arc::new(group(&engines, &tables, rank, port));
-        group.set(zones.clone());
+        group.set_engines(zones.clone());
         let own = Arc::new(Rank::new(tables[rank].clone()));
         driver.get_or_insert_with(|| (group.clone(), own.clone()));
         let address = (engines[rank].ip(), port);
@@ -212,11 +212,11 @@
     /// Has a step carried out at all ranks; returns the effects by rank.
     pub async fn deliver(
         &self,
-        parcel: &loftcove_sidecar::parcel::Parcel,
+        broadcast: &loftcove_sidecar::broadcast::Broadcast,
     ) -> BTreeMap<SocketAddr, wire::Effect> {
         let parts = self.group.parts(&self.engines).into_iter();
         let parts = parts.map(|part| part.into_iter().map(|place| self.engines[place]).collect());
-        let all = parts.map(|part| self.group.deliver(&self.driver, part, parcel));
+        let all = parts.map(|part| self.group.deliver(&self.driver, part, broadcast));
         let all = futures_util::future::join_all(all).await;
         all.into_iter().flatten().map(|(engine, carried)| (engine, carried.effect)).collect()
     }
--- a/sidecar/tests/relays.rs
+++ b/sidecar/tests/relays.rs
@@ -12,7 +12,7 @@
 use common::{Fault, GROUP, Ranks, SETS, TERM, step};
 use loftcove_decision::map::difference;
 use loftcove_interface::engine::{Map, Order};
-use loftcove_sidecar::parcel::{Parcel, Source};
+use loftcove_sidecar::broadcast::{Broadcast, Source};
 use loftcove_sidecar::relay::{Errand, Error, Work};
 use loftcove_wire as wire;
 use prost::Message as _;
@@ -30,9 +30,9 @@
     next
 }
 
-fn prepare(base: &Map, map: &Map, version: u64) -> Parcel {
+fn prepare(base: &Map, map: &Map, version: u64) -> Broadcast {
     let source = Source { base: Arc::new(base.clone()), experts: 2 * base[0].len() };
-    Parcel::new(step(Order::Prepare { version, map: Arc::new(map.clone()) }), source)
+    Broadcast::new(step(Order::Prepare { version, map: Arc::new(map.clone()) }), source)
 }
 
 fn opening(ranks: usize) -> Map {
@@ -62,10 +62,10 @@
 async fn maps_follow_one_another_by_their_differences() {
     let ranks = common::start(RANKS, &BTreeMap::new()).await;
     let (first, second) = (next(&opening(RANKS), 1), next(&next(&opening(RANKS), 1), 2));
-    let parcel = prepare(&opening(RANKS), &first, 10);
-    assert_prepared(&ranks, &ranks.deliver(&parcel).await, &first, 10);
-    let parcel = prepare(&first, &second, 11);
-    assert_prepared(&ranks, &ranks.deliver(&parcel).await, &second, 11);
+    let broadcast = prepare(&opening(RANKS), &first, 10);
+    assert_prepared(&ranks, &ranks.deliver(&broadcast).await, &first, 10);
+    let broadcast = prepare(&first, &second, 11);
+    assert_prepared(&ranks, &ranks.deliver(&broadcast).await, &second, 11);
 }
 
 /// Bytes and messages that the driver sends for one change of a few experts
@@ -83,13 +83,13 @@
         let zones: BTreeMap<_, Arc<str>> = zones.collect();
         let zone = |engine: &std::net::SocketAddr| -> Arc<str> { zones[engine][..4].into() };
         let group = common::unreached(engines[0]);
-        group.set(engines.iter().map(|engine| (*engine, zone(engine))).collect());
-        let parcel = prepare(&opening(size), &next(&opening(size), 1), 10);
+        group.set_engines(engines.iter().map(|engine| (*engine, zone(engine))).collect());
+        let broadcast = prepare(&opening(size), &next(&opening(size), 1), 10);
         let parts = group.parts(&engines);
         assert!(parts.len() <= 21, "{} parts of {size} ranks", parts.len());
         let message = |part: &Vec<usize>| {
             let engines = part.iter().map(|place| engines[*place]).collect();
-            let work = Work::Step(parcel.message().clone());
+            let work = Work::Step(broadcast.message().clone());
             let errand = Errand { work, engines, limit: std::time::Duration::from_secs(1) };
             errand.message().encoded_len()
         };
@@ -108,8 +108,8 @@
     let ranks = common::start(RANKS, &BTreeMap::new()).await;
     // No rank has seen the map that the next one is told by.
     let (first, second) = (next(&opening(RANKS), 1), next(&next(&opening(RANKS), 1), 2));
-    let parcel = prepare(&first, &second, 10);
-    assert_prepared(&ranks, &ranks.deliver(&parcel).await, &second, 10);
+    let broadcast = prepare(&first, &second, 10);
+    assert_prepared(&ranks, &ranks.deliver(&broadcast).await, &second, 10);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -120,15 +120,15 @@
     let faults: BTreeMap<usize, Fault> = gone.chain(silent).filter(|(rank, _)| *rank > 0).collect();
     let ranks = common::start(RANKS, &faults).await;
     let map = next(&opening(RANKS), 1);
-    let parcel = prepare(&opening(RANKS), &map, 10);
-    assert_prepared(&ranks, &ranks.deliver(&parcel).await, &map, 10);
+    let broadcast = prepare(&opening(RANKS), &map, 10);
+    assert_prepared(&ranks, &ranks.deliver(&broadcast).await, &map, 10);
     for (rank, table) in ranks.tables.iter().enumerate() {
-        let afar = table.state.lock().unwrap().from_afar;
-        assert!(afar > 0 || !faults.contains_key(&rank), "rank {rank} has no sidecar");
+        let remote = table.state.lock().unwrap().remote_orders;
+        assert!(remote > 0 || !faults.contains_key(&rank), "rank {rank} has no sidecar");
     }
     // The next step knows whom to pass over: what is left is the wait for the
     // ranks themselves.
-    let arm = Parcel::new(step(Order::Arm { version: 10, pass: 200 }), Source::default());
+    let arm = Broadcast::new(step(Order::Arm { version: 10, pass: 200 }), Source::default());
     let begun = Instant::now();
     let effects = ranks.deliver(&arm).await;
     assert!(effects.values().all(|effect| *effect == wire::Effect::Confirmed), "{effects:?}");
@@ -185,9 +185,9 @@
     use loftcove_sidecar::maps;
     use loftcove_sidecar::rank::Fault;
     let ranks = common::start(2, &BTreeMap::new()).await;
-    let parcel = prepare(&opening(2), &next(&opening(2), 1), 10);
+    let broadcast = prepare(&opening(2), &next(&opening(2), 1), 10);
     let carried = async |change: fn(&mut wire::Difference)| {
-        let mut step = parcel.message().clone();
+        let mut step = broadcast.message().clone();
         change(step.map.as_mut().unwrap());
         ranks.driver.carry_message(&step).await
     };
--- a/sidecar/tests/stall.rs
+++ b/sidecar/tests/stall.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use loftcove_interface::engine::{Group, Report};
-use loftcove_sidecar::known::Stall;
+use loftcove_sidecar::state::Watchdog;
 
 const TERM: u64 = 5;
 
@@ -27,10 +27,10 @@
 
 /// Looks again and again, for twice the time that a pass may be held; returns
 /// whether the driver was to be deposed.
-async fn looks(stall: &mut Stall, report: &Report) -> bool {
+async fn looks(watchdog: &mut Watchdog, report: &Report) -> bool {
     let end = Instant::now() + Duration::from_secs(2);
     while Instant::now() < end {
-        if stall.look(report, TERM) {
+        if watchdog.observe(report, TERM) {
             return true;
         }
         tokio::task::yield_now().await;
@@ -42,12 +42,12 @@
 async fn a_group_that_a_cut_keeps_standing_has_a_driver() {
     // A map is prepared and no pass begins, but nothing is held: ranks are cut
     // off, and the driver cannot help it.
-    assert!(!looks(&mut Stall::default(), &report(40, None)).await);
+    assert!(!looks(&mut Watchdog::default(), &report(40, None)).await);
     // A hold of a pass that is not the next one stops nothing yet.
-    assert!(!looks(&mut Stall::default(), &report(40, Some(43))).await);
+    assert!(!looks(&mut Watchdog::default(), &report(40, Some(43))).await);
 }
 
 #[tokio::test]
 async fn a_driver_that_left_its_group_held_is_deposed() {
-    assert!(looks(&mut Stall::default(), &report(40, Some(41))).await);
+    assert!(looks(&mut Watchdog::default(), &report(40, Some(41))).await);
 }
--- a/sidecar/tests/suspension.rs
+++ b/sidecar/tests/suspension.rs
@@ -21,7 +21,7 @@
         let (store, renewals) = (store.clone(), renewals.clone());
         async move {
             let term = Term { number: 1, lease: store::Lease { era: 0, id: 1 } };
-            election::keep(&*store, &Mirror::default(), "g0", term, &renewals).await;
+            election::renew(&*store, &Mirror::default(), "g0", term, &renewals).await;
         }
     });
     while store.seen().renewals == 0 {
