--- a/sidecar/src/broadcast.rs
+++ b/sidecar/src/broadcast.rs
@@ -1,4 +1,4 @@
-//! A step as it goes out to ranks: made into a message once for all of them.
+//! A step that is sent to several ranks, encoded once for all of them.
 
 use std::sync::{Arc, OnceLock};
 
@@ -9,19 +9,19 @@
 use crate::maps;
 use crate::rank::Step;
 
-/// How the map of a change is told.
+/// What the map of a change is encoded against.
 #[derive(Debug, Clone, Default)]
 pub struct Source {
-    /// The map that the ranks hold.
+    /// Map that the ranks hold.
     pub base: Arc<Map>,
-    /// Experts of a set.
+    /// Number of experts of a set.
     pub experts: usize,
 }
 
 /// A step and its messages.
 #[derive(Debug)]
 pub struct Broadcast {
-    /// The step.
+    /// Step to send.
     pub step: Step,
     message: wire::Step,
     source: Source,
@@ -29,9 +29,9 @@
 }
 
 impl Broadcast {
-    /// Packs a step. Its map is the same to the letter for a rank that makes it
-    /// of a difference, for this sidecar's own, and for one whose engine is told
-    /// past its sidecar.
+    /// Encodes a step. Its map is made canonical, so that three kinds of rank receive identical
+    /// maps: a rank that decodes the difference, this sidecar's own rank, and a rank whose engine
+    /// is called directly, without its sidecar.
     pub fn new(mut step: Step, source: Source) -> Broadcast {
         let mut message = message(&step);
         if let Order::Prepare { map, .. } = &mut step.order {
@@ -41,12 +41,12 @@
         Broadcast { step, message, source, whole: OnceLock::new() }
     }
 
-    /// The message for a rank that holds the map of before.
+    /// Returns the message for a rank that holds the previous map.
     pub fn message(&self) -> &wire::Step {
         &self.message
     }
 
-    /// The message for a rank of which nothing is known.
+    /// Returns the message, with the whole map, for a rank of which it is unknown what it holds.
     pub fn whole(&self) -> &wire::Step {
         self.whole.get_or_init(|| {
             let map = match &self.step.order {
@@ -57,13 +57,13 @@
         })
     }
 
-    /// Bytes of the map's difference; zero where the step has none.
+    /// Returns the size of the map's difference in bytes, or zero if the step has no map.
     pub fn map_bytes(&self) -> usize {
         self.message.map.as_ref().map_or(0, |map| map.changes.len())
     }
 }
 
-/// A step as a message, without its map.
+/// Encodes a step without its map.
 fn message(step: &Step) -> wire::Step {
     let mut message = wire::Step {
         group: step.group.to_string(),
--- a/sidecar/src/codec.rs
+++ b/sidecar/src/codec.rs
@@ -1,7 +1,6 @@
-//! Lists of numbers as our messages carry them: each list with its length
-//! before it.
+//! Encoding of lists of numbers in messages: each list is preceded by its length.
 
-/// Puts lists into one row of numbers.
+/// Encodes lists as one sequence of numbers.
 pub fn encode<'a>(lists: impl IntoIterator<Item = &'a Vec<u16>>) -> Vec<u32> {
     let mut row = Vec::new();
     for list in lists {
@@ -11,7 +10,7 @@
     row
 }
 
-/// Takes a row apart into lists; `None` where it is not well formed.
+/// Decodes a sequence into its lists, or returns `None` if it is malformed.
 pub fn decode(row: &[u32]) -> Option<Vec<Vec<u16>>> {
     let mut lists = Vec::new();
     let mut rest = row;
--- a/sidecar/src/demand.rs
+++ b/sidecar/src/demand.rs
@@ -1,10 +1,10 @@
-//! How much each expert is in demand, from the counts of the ranks.
+//! Demand of the experts, computed from the counts of the ranks.
 
-/// What is left of the demand after one interval: a shift of demand shows
-/// within two or three, while single requests do not move it much.
+/// Factor by which the demand decays per interval. A shift of the demand shows within two or three
+/// intervals, while single requests have little influence.
 const DECAY: f64 = 0.55;
 
-/// The demand, set by set.
+/// Demand by set and expert.
 #[derive(Debug, Default)]
 pub struct Demand {
     load: Vec<f64>,
@@ -13,8 +13,8 @@
 }
 
 impl Demand {
-    /// Takes how often experts were chosen in an interval; nothing where no rank
-    /// could tell.
+    /// Adds how often each expert was chosen in an interval. Does nothing if `counts` is empty,
+    /// because no rank reported any.
     pub fn add(&mut self, counts: &[u32]) {
         if counts.is_empty() {
             return;
@@ -28,22 +28,24 @@
         }
     }
 
-    /// Forgets all but the last interval: demand has shifted since.
+    /// Discards all but the last interval, after a shift of the demand.
     pub fn reset(&mut self) {
         self.load.clone_from(&self.newest);
     }
 
-    /// Demand of the experts of a set in the last interval alone.
+    /// Returns the demand of the experts of a set in the last interval alone. Each set has
+    /// `experts` experts.
     pub fn newest(&self, set: usize, experts: usize) -> &[f64] {
         self.newest.get(set * experts..(set + 1) * experts).unwrap_or_default()
     }
 
-    /// Demand of the experts of a set, where each has so many.
+    /// Returns the exponentially smoothed demand of the experts of a set. Each set has `experts`
+    /// experts.
     pub fn smoothed(&self, set: usize, experts: usize) -> &[f64] {
         self.load.get(set * experts..(set + 1) * experts).unwrap_or_default()
     }
 
-    /// Choices that the demand rests on.
+    /// Returns the number of choices that the demand is based on.
     pub fn total(&self) -> f64 {
         self.load.iter().sum()
     }
--- a/sidecar/src/lib.rs
+++ b/sidecar/src/lib.rs
@@ -1,14 +1,12 @@
-//! The sidecar: stands beside a model engine, one rank of a group that runs in
-//! lock-step, and changes the group's expert map.
+//! Sidecar of a model engine. An engine is one rank of a group that runs in lock-step; its sidecar
+//! takes part in changing the group's expert map.
 //!
-//! [`rank`] answers for the engine and carries out orders for it. One sidecar
-//! of each group is its driver, by a lease in the store ([`election`]): it
-//! collects what experts were chosen ([`demand`]), decides where they should be
-//! ([`plan`], by what is [`known`]) and takes all ranks over to a new map
-//! ([`drive`]), through [`group`]; in a large group by sidecars that pass on what
-//! is meant for others ([`relay`]). A map travels as its difference from one
-//! that the ranks hold ([`broadcast`], [`maps`]). No request passes through a
-//! sidecar.
+//! [`rank`] reports the state of the engine and carries out orders for it. One sidecar of each
+//! group is its driver, elected by a lease in the store ([`election`]). The driver collects how
+//! often experts are chosen ([`demand`]), decides where they should be placed ([`plan`], based on
+//! its [`state`]) and switches all ranks to a new map ([`drive`]) through [`group`]. In a large
+//! group, sidecars relay messages to others ([`relay`]). A map is sent as its difference from one
+//! that the ranks hold ([`broadcast`], [`maps`]). Requests of clients don't pass through a sidecar.
 
 pub mod broadcast;
 pub mod codec;
@@ -39,34 +37,33 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tonic::transport::server::TcpIncoming;
 
-/// Gateways that a sidecar follows: with two, it hears of changes while one is
-/// cut off.
+/// Gateways that a sidecar follows. With two, it receives updates while one is unreachable.
 const FOLLOWERS: usize = 2;
-/// Longest time that a stopping driver may take to end a change it has begun.
+/// Longest time that a stopping driver may take to complete a change that it has begun.
 const STOP_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Why the sidecar could not run.
+/// Reasons why the sidecar cannot run.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// An address cannot be listened on.
-    #[error("{address}: {source}")]
+    /// The sidecar cannot listen on an address.
+    #[error("cannot listen on {address}: {source}")]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// What the system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// Signals cannot be received.
-    #[error("signals cannot be received: {0}")]
+    /// Signal handlers cannot be installed.
+    #[error("cannot install signal handlers: {0}")]
     Signal(std::io::Error),
 }
 
-/// Runs a sidecar until it is told to stop. `connect` makes a client of the
-/// engine at an address.
+/// Runs a sidecar until it receives SIGTERM. `connect` creates a client of the engine at an
+/// address.
 ///
 /// # Errors
 ///
-/// An [`Error`] of an address or of the signals.
+/// Returns an [`Error`] if an address cannot be listened on or signals cannot be received.
 pub async fn run<P: Protocol, S: Store, E: Engine>(
     file: &Path,
     settings: settings::Sidecar,
@@ -111,7 +108,7 @@
     log::info!("stopping host={}", host.name);
     stop.send_replace(true);
     if tokio::time::timeout(STOP_TIMEOUT, &mut driver).await.is_err() {
-        log::warn!("stopped within a change of the map");
+        log::warn!("stop timeout expired during a map change");
     }
     log::info!("stopped host={}", host.name);
     Ok(())
--- a/sidecar/src/maps.rs
+++ b/sidecar/src/maps.rs
@@ -1,5 +1,5 @@
-//! The maps that a sidecar has seen, so that the next one can be told by its
-//! difference from one of them.
+//! Cache of the maps that a sidecar has received, against which the next one is decoded from its
+//! difference.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -8,37 +8,37 @@
 use loftcove_interface::engine::Map;
 use loftcove_wire as wire;
 
-/// Maps that are kept: the one in use, the one being prepared, and one that was
-/// abandoned between them. Each takes some 80 KB in a group of 192 ranks.
+/// Number of cached maps: the one in use, the one being prepared, and one in between that was
+/// abandoned. Each takes some 80 KB in a group of 192 ranks.
 const CAPACITY: usize = 3;
-/// Most lists of a map: sets times ranks, far more than any group has. The shape
-/// of a map that opens a group is taken from messages.
+/// Largest number of lists of a map: sets times ranks, far more than any group has. The limit is
+/// needed because the shape of a group's initial map is read from messages.
 const MAX_LISTS: usize = 1 << 18;
 
-/// Why a map could not be made of a message.
+/// Reasons why a map cannot be decoded from a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// The map that the difference is applied to is not held.
-    #[error("base of the map is not held")]
+    /// The map that the difference applies to is not cached.
+    #[error("base map is not cached")]
     BaseMissing,
-    /// The difference is malformed, or leads to another map.
+    /// The difference is malformed, or yields a map with another digest.
     #[error(transparent)]
     Malformed(#[from] difference::Error),
 }
 
-/// Maps by their digests, the newest last.
+/// Maps by digest, in order of insertion.
 #[derive(Debug, Default)]
 pub struct Cache {
     maps: VecDeque<(u64, Arc<Map>)>,
 }
 
 impl Cache {
-    /// Makes the map that a message tells, for a group of so many ranks, and
-    /// keeps it.
+    /// Decodes the map of a message, for a group with this number of ranks, and caches it.
     ///
     /// # Errors
     ///
-    /// An [`Error`] that tells whether another difference may do.
+    /// Returns [`Error::BaseMissing`] if a difference from another map may succeed, and
+    /// [`Error::Malformed`] otherwise.
     pub fn decode(&mut self, message: &wire::Difference, ranks: usize) -> Result<Arc<Map>, Error> {
         if let Some(map) = self.find(message.digest) {
             return Ok(map);
@@ -62,7 +62,7 @@
     }
 }
 
-/// The map that the group opened with, if it is the base of a message.
+/// Returns the initial map of the group if it is the base of a message.
 fn initial(message: &wire::Difference, ranks: usize) -> Option<Arc<Map>> {
     let (sets, experts) = (message.sets as usize, message.experts as usize);
     let plausible = sets.checked_mul(ranks)? <= MAX_LISTS && experts <= usize::from(u16::MAX) + 1;
@@ -70,8 +70,7 @@
     (difference::digest(&map) == message.base).then(|| Arc::new(map))
 }
 
-/// A map as a message that a rank with `base` understands; `None` where the two
-/// differ in shape.
+/// Encodes a map for a rank that holds `base`, or returns `None` if the two differ in shape.
 pub fn encode(base: &Map, map: &Map, experts: usize) -> Option<wire::Difference> {
     Some(wire::Difference {
         base: difference::digest(base),
@@ -82,7 +81,7 @@
     })
 }
 
-/// A map as a message that every rank understands.
+/// Encodes a map as its difference from the group's initial map, which every rank can compute.
 pub fn encode_whole(map: &Map, experts: usize) -> Option<wire::Difference> {
     let ranks = map.first()?.len();
     encode(&difference::round_robin(map.len(), experts, ranks), map, experts)
--- a/sidecar/src/metrics.rs
+++ b/sidecar/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters of a sidecar, and their address.
+//! Metrics of a sidecar and the HTTP server that exposes them.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -21,16 +21,16 @@
     pub driving: Gauge,
     /// Terms that this sidecar was elected for.
     pub elected: Counter,
-    /// Drivers that it took the term from, of a group that was left held.
+    /// Drivers that this sidecar deposed because they left their group held.
     pub deposed: Counter,
-    /// Maps that the group was taken to.
+    /// Maps that the group switched to.
     pub switched: Counter,
-    /// Changes that were given up.
+    /// Changes that were aborted.
     pub abandoned: Counter,
-    /// Time of a change, from the decision to its end, seconds.
+    /// Time of a change from the decision to its end, in seconds.
     pub change: Histogram,
-    /// Time from the order to hold the group to the change's end, seconds; the
-    /// group stands still for the last part of it, if at all.
+    /// Time from the order that holds the group to the end of the change, in seconds. The group is
+    /// blocked for at most the last part of it.
     pub held: Histogram,
 }
 
@@ -67,7 +67,7 @@
     }
 }
 
-/// Answers every path with the metrics until the process ends.
+/// Responds to every path with the metrics until the process exits.
 pub async fn serve(metrics: Arc<Metrics>, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
--- a/sidecar/src/plan.rs
+++ b/sidecar/src/plan.rs
@@ -1,4 +1,4 @@
-//! Decides whether a group should go over to another map, and to which.
+//! Decides whether a group should switch to another map, and to which one.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,41 +10,37 @@
 
 use crate::state::State;
 
-/// Choices that a set's demand must rest on, for each expert.
+/// Minimum number of choices per expert that the demand must be based on.
 const MIN_CHOICES: f64 = 12.0;
-/// Least gain of a change, as a part of the ideal time of the experts' work,
-/// while the engines are idle and while they are full: a shorter pass brings more
-/// the more requests wait for it. This and the pairs below are guesses;
-/// `docs/POLICY.md` has what other values bring.
+/// Minimum gain of a change, as a fraction of the ideal time of the experts' work, while the
+/// engines are idle and while they are full. A shorter pass gains more the more requests wait for
+/// it. `docs/POLICY.md` lists the effect of other values for this pair and those below.
 const MIN_GAIN: (f64, f64) = (0.30, 0.10);
-/// Part by which passes take longer while ranks copy, as the engines' protocol
-/// tells.
+/// Fraction by which passes take longer while ranks copy, according to the engines' protocol.
 const COPY_SLOWDOWN: f64 = 0.15;
-/// Peak at which the search for a set ends, while the engines are idle and
-/// while they are full.
+/// Peak at which the search for a set ends, while the engines are idle and while they are full.
 const TARGET_PEAK: (f64, f64) = (1.50, 1.06);
-/// Least gain of one move of the search, while the engines are idle and while
-/// they are full.
+/// Minimum gain of one move of the search, while the engines are idle and while they are full.
 const MIN_MOVE_GAIN: (f64, f64) = (0.06, 0.02);
-/// Time of a copy where the bandwidth is not published.
+/// Time of a copy if the bandwidth is not published.
 const DEFAULT_COPY_TIME: Duration = Duration::from_millis(200);
 const BITS_PER_BYTE: f64 = 8.0;
-/// How much higher the peak must be by the last interval than by the demand
-/// before for the demand to count as shifted.
+/// Difference between the peak of the last interval and that of the smoothed demand above which the
+/// demand counts as shifted.
 const SHIFT_RISE: f64 = 0.25;
 
-/// Requests on the engines, as a part of their slots, up to which these count
-/// as idle, and from which as full. A guess, see [`MIN_GAIN`].
+/// Requests on the engines, as a fraction of their slots, up to which the engines count as idle and
+/// from which they count as full. See [`MIN_GAIN`].
 const FILL_RANGE: (f64, f64) = (0.5, 0.75);
 
-/// A value between that of idle and that of full engines.
+/// Interpolates between the values for idle and for full engines.
 fn interpolate(fill: f64, (idle, full): (f64, f64)) -> f64 {
     let part = ((fill - FILL_RANGE.0) / (FILL_RANGE.1 - FILL_RANGE.0)).clamp(0.0, 1.0);
     idle + (full - idle) * part
 }
 
-/// Forgets the demand from before a shift, so that the next map is made for
-/// what is in demand now and not for a mixture.
+/// Discards the demand from before a shift, so that the next map fits the current demand instead of
+/// a mixture of both.
 pub fn detect_shift(state: &mut State, experts: &route::Experts) {
     if state.map.len() != experts.sets {
         return;
@@ -68,17 +64,17 @@
     }
 }
 
-/// Whether a change wins more time, until the demand is expected to shift again,
-/// than passes lose while it copies.
+/// Returns whether a change gains more time, until the expected next shift of the demand, than
+/// passes lose while ranks copy.
 fn pays_off(stage: &Stage, times: Times, shift_interval: Duration) -> bool {
     let left = shift_interval.saturating_sub(stage.time).as_secs_f64();
     let copying = stage.time.saturating_sub(times.switch).as_secs_f64();
     stage.gain() * left > COPY_SLOWDOWN * stage.peak.0 * copying
 }
 
-/// The change of the map to make now, or `None` to stay. The search is on a
-/// thread of its own: in a large group it takes a small host's processor longer
-/// than a renewal of the term, or a message to a rank, may wait.
+/// Returns the change of the map to make now, or `None` to keep the map. The search runs on a
+/// separate thread: in a large group it occupies the processor of a small host for longer than a
+/// renewal of the term, or a message to a rank, may be delayed.
 pub async fn decide(
     state: &mut State,
     engine: &route::Engine,
@@ -93,7 +89,7 @@
     let stage = match tokio::task::spawn_blocking(move || task.search()).await {
         Ok(stage) => stage,
         Err(error) => {
-            log::error!("search for a map failed error=\"{error}\"");
+            log::error!("map search failed error=\"{error}\"");
             None
         }
     };
@@ -118,7 +114,7 @@
     change.then_some(stage)
 }
 
-/// What a search needs, apart from what goes on.
+/// Input of a search, copied so that the search can run on a separate thread.
 struct Search {
     map: Arc<Map>,
     /// Demand of the experts of each set.
@@ -130,7 +126,7 @@
 }
 
 impl Search {
-    /// `None` where too little is known.
+    /// Creates a search, or returns `None` if too little is known.
     fn new(state: &State, engine: &route::Engine, experts: &route::Experts) -> Option<Search> {
         let least = MIN_CHOICES * (experts.count * experts.sets) as f64;
         if state.demand.total() < least || state.map.len() != experts.sets {
@@ -156,7 +152,8 @@
         self.loads.iter().map(|load| demand(load)).collect()
     }
 
-    /// Mean over the sets of the slowest rank's time over the least possible one.
+    /// Returns the mean over the sets of the time of the slowest rank, relative to the least
+    /// possible time.
     fn peak(&self) -> f64 {
         let sets = self.map.iter().zip(self.demand());
         let sum: f64 = sets.map(|(ranks, demand)| spread::peak(ranks, demand)).sum();
@@ -168,7 +165,7 @@
     }
 }
 
-/// Time in which a rank copies one expert.
+/// Returns the time that a rank takes to copy one expert.
 fn copy_time(engine: &route::Engine, experts: &route::Experts) -> Duration {
     if engine.copy_mbps <= 0.0 {
         return DEFAULT_COPY_TIME;
--- a/sidecar/src/state.rs
+++ b/sidecar/src/state.rs
@@ -1,4 +1,4 @@
-//! What a driver knows of its group.
+//! State that a driver keeps about its group, and detection of a group that its driver left held.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,70 +10,68 @@
 use crate::demand::Demand;
 use crate::group::View;
 
-/// Fewest and most passes from the present one to the one at which the ranks
-/// switch. A pass takes some 50 ms and arming all ranks less, unless orders get
-/// no answer; then it is better to switch later than to hold the group.
+/// Minimum and maximum lead, in passes, from the current pass to the one at which the ranks switch.
+/// A pass takes some 50 ms, and arming all ranks takes less unless orders get no answer; in that
+/// case switching later is better than holding the group.
 const LEAD: (u64, u64) = (2, 12);
-/// What is left, at each change, of the time that arming is expected to take.
+/// Factor by which the expected time to arm all ranks decays at each change.
 pub const ARM_TIME_DECAY: f64 = 0.8;
-/// How long the demand is expected to stay as it is before two shifts were seen.
+/// Expected time between two shifts of the demand before two were observed.
 const INITIAL_SHIFT_INTERVAL: Duration = Duration::from_secs(8);
-/// Expected time of the first change of the map beside its copies: orders to all
-/// ranks and the passes until the switch.
+/// Expected time of the first change of the map without its copies: orders to all ranks and the
+/// passes until the switch.
 const INITIAL_SWITCH_TIME: Duration = Duration::from_millis(300);
-/// Time without a pass, within a change of the map, after which a driver is
-/// taken to be gone: several times what a change keeps a group waiting.
+/// Time without a pass, within a change of the map, after which the driver is assumed to have
+/// crashed. It is several times as long as a change keeps a group waiting.
 const STALL_TIME: Duration = Duration::from_millis(500);
-/// Passes of the group without one after which the same holds, where its passes
-/// are long: a slow rank makes them last a second.
+/// Duration of a stall in passes of the group. It replaces [`STALL_TIME`] if passes are long: a
+/// slow rank makes them last a second.
 const STALL_PASSES: u32 = 3;
-/// What is left, at each pass, of the longest time that one took.
+/// Factor by which the longest time of a pass decays at each pass.
 const PASS_TIME_DECAY: f64 = 0.7;
 
-/// Time until a search that found nothing worth a change is made again, and the
-/// rise of the peak that makes it sooner. A search takes a small host a tenth of
-/// a second in a group of 192 ranks, while the demand drifts over seconds; a
-/// shift raises the peak by more than this. Both are guesses.
+/// Time until a search that found no worthwhile change is repeated, and the rise of the peak that
+/// repeats it sooner. In a group of 192 ranks a search takes a small host a tenth of a second,
+/// while the demand drifts over seconds; a shift raises the peak by more than this.
 const SEARCH_PAUSE: Duration = Duration::from_secs(1);
 const SEARCH_RISE: f64 = 0.05;
 
-/// What a term has learnt of the group.
+/// State of the group as observed in one term.
 #[derive(Default)]
 pub struct State {
-    /// Its ranks.
+    /// Ranks of the group.
     pub view: View,
-    /// The map in use.
+    /// Map in use.
     pub map: Arc<Map>,
-    /// What experts are in demand.
+    /// Demand of the experts.
     pub demand: Demand,
-    /// How many times as long as usual each rank takes for its work.
+    /// Slowness of each rank: the time that its work takes, as a multiple of the usual time.
     pub slowness: Vec<f64>,
     /// Rounds since the slowness of all ranks was read.
     pub rounds: u32,
-    /// Requests on the engines, as a part of their slots.
+    /// Requests on the engines, as a fraction of their slots.
     pub fill: f64,
-    /// How long arming all ranks is expected to take, of which [`ARM_TIME_DECAY`]
-    /// is left at each change.
+    /// Expected time to arm all ranks. It decays by [`ARM_TIME_DECAY`] at each change.
     pub arm_time: Duration,
-    /// Time of a pass.
+    /// Duration of a pass.
     pub pass_time: Duration,
-    /// How long the copies of the present change are expected to take.
+    /// Expected time of the copies of the current change.
     pub copy_time: Duration,
-    /// Mean time of a change of the map beside its copies; none before the first.
+    /// Mean time of a change of the map without its copies; `None` before the first change.
     switch_time: Option<Duration>,
-    /// When the demand last shifted, and the mean time between two shifts.
+    /// Time of the last shift of the demand, and the mean time between two shifts.
     last_shift: Option<boot::Instant>,
     shift_interval: Option<Duration>,
-    /// Last pass that was seen, and when.
+    /// Last observed pass, and when it was observed.
     last_pass: Option<(u64, boot::Instant)>,
-    /// Versions used in this term.
+    /// Number of versions used in this term.
     pub versions: u64,
-    /// When a search last found nothing worth a change, and at what peak.
+    /// Time of the last search that found no worthwhile change, and the peak at that time.
     failed_search: Option<(boot::Instant, f64)>,
 }
 
 impl State {
-    /// What stays known when the group has formed anew.
+    /// Resets what does not outlast an epoch of the group.
     pub fn next_epoch(&mut self) {
         let before = std::mem::take(self);
         *self = State {
@@ -89,18 +87,18 @@
         };
     }
 
-    /// Whether to search for a better map at that peak.
+    /// Returns whether to search for a better map at this peak.
     pub fn should_search(&self, peak: f64) -> bool {
         self.failed_search
             .is_none_or(|(at, before)| at.elapsed() >= SEARCH_PAUSE || peak >= before + SEARCH_RISE)
     }
 
-    /// A search has ended, with a change worth making or without.
+    /// Records the end of a search and whether it found a worthwhile change.
     pub fn record_search(&mut self, peak: f64, change: bool) {
         self.failed_search = (!change).then(|| (boot::Instant::now(), peak));
     }
 
-    /// Takes the last pass that has begun, for the time of a pass.
+    /// Records the last pass that has begun and updates the duration of a pass.
     pub fn record_pass(&mut self, pass: u64) {
         let now = boot::Instant::now();
         if let Some((before, at)) = self.last_pass
@@ -111,12 +109,12 @@
         self.last_pass = Some((pass, now));
     }
 
-    /// How long the demand mostly stays as it is.
+    /// Returns the expected time between two shifts of the demand.
     pub fn shift_interval(&self) -> Duration {
         self.shift_interval.unwrap_or(INITIAL_SHIFT_INTERVAL)
     }
 
-    /// The demand has shifted.
+    /// Records a shift of the demand.
     pub fn record_shift(&mut self) {
         let now = boot::Instant::now();
         if let Some(before) = self.last_shift.replace(now) {
@@ -125,18 +123,18 @@
         }
     }
 
-    /// Time of a change of the map beside its copies.
+    /// Returns the expected time of a change of the map without its copies.
     pub fn switch_time(&self) -> Duration {
         self.switch_time.unwrap_or(INITIAL_SWITCH_TIME)
     }
 
-    /// Takes how long a change took, copies included.
+    /// Records the time that a change took, copies included.
     pub fn record_switch(&mut self, time: Duration) {
         let sample = time.saturating_sub(self.copy_time);
         self.switch_time = Some((self.switch_time() + sample) / 2);
     }
 
-    /// Passes from the present one to the one at which the ranks switch.
+    /// Returns the number of passes from the current one to the one at which the ranks switch.
     pub fn lead(&self) -> u64 {
         let pass = self.pass_time.as_secs_f64().max(0.001);
         let passes = (self.arm_time.as_secs_f64() / pass).ceil() as u64;
@@ -144,22 +142,22 @@
     }
 }
 
-/// Notices that the group stands still because a driver left it held. What else
-/// keeps it standing, as a rank that is cut off, no other driver can mend.
+/// Detects that the group is blocked because a driver left a pass held. Other causes, such as an
+/// unreachable rank, cannot be resolved by another driver and are ignored.
 #[derive(Debug, Default)]
 pub struct Watchdog {
     pass: u64,
-    /// Term of the driver that is to end it.
+    /// Term of the driver that should release the pass.
     term: u64,
     since: Option<boot::Instant>,
-    /// Longest time between two looks at which a pass had begun meanwhile,
-    /// of which [`PASS_TIME_DECAY`] is left at each new pass.
+    /// Longest time between two observations with a new pass in between. It decays by
+    /// [`PASS_TIME_DECAY`] at each new pass.
     pass_time: Duration,
 }
 
 impl Watchdog {
-    /// Takes a report and the driver's term; returns whether this rank has kept
-    /// the group from its next pass for too long under this driver.
+    /// Records a report and the driver's term. Returns whether this rank has held back the group's
+    /// next pass for too long under this driver.
     pub fn observe(&mut self, report: &engine::Report, term: u64) -> bool {
         let held = report.held == Some(report.pass + 1);
         let moved = report.pass != self.pass;
@@ -177,8 +175,8 @@
     }
 }
 
-/// Takes the map in use from the ranks' lists; `false` where they do not fit
-/// together, as in the middle of a switch.
+/// Assembles the map in use from the lists of the ranks. Returns `false` if they are inconsistent,
+/// as in the middle of a switch.
 pub fn load_map(state: &mut State) -> bool {
     let conditions = &state.view.conditions;
     let versions_differ = conditions.windows(2).any(|pair| pair[0].map != pair[1].map);
