--- a/sidecar/src/drive.rs
+++ b/sidecar/src/drive.rs
@@ -1,4 +1,5 @@
-//! Drives a group: decides where its experts should be, and takes it there.
+//! Driver of a group: decides where the group's experts should be placed and switches the group to
+//! the new map.
 
 mod change;
 mod discover;
@@ -24,66 +25,67 @@
 use crate::rank::Rank;
 use crate::state::{State, Watchdog};
 
-/// Time between two looks at the counts.
+/// Interval between two reads of the counts.
 const INTERVAL: Duration = Duration::from_millis(200);
-/// Time between two looks whether the group has opened, or has a driver.
+/// Interval at which a sidecar without a term checks whether the group has opened or lost its
+/// driver.
 const IDLE_INTERVAL: Duration = Duration::from_millis(100);
-/// Ranks whose counts are read: requests spread evenly, so that these stand
-/// for all.
+/// Number of ranks whose counts are read. Requests are spread evenly, so that the sample represents
+/// all ranks.
 const SAMPLE_SIZE: usize = 16;
-/// Rounds from one look at the speed of all ranks to the next, where counts are
-/// read from a part of them: a second, at the price of a small message a rank.
+/// Rounds between two reads of the slowness of all ranks if counts are read from a sample only. The
+/// interval is one second and costs a small message per rank.
 const SLOWNESS_ROUNDS: u32 = 5;
-/// Slowness from which a rank counts as slow; what is below is left to the
-/// spread of the load.
+/// Slowness from which a rank counts as slow. Smaller differences are left to the placement by
+/// load.
 const MIN_SLOWNESS: f64 = 1.2;
-/// Least time between two writes of a group's members.
+/// Minimum time between two writes of a group's members.
 const PUBLISH_PAUSE: Duration = Duration::from_secs(2);
-/// Time that a sidecar stays out after it stood for election in vain.
+/// Time that a sidecar stands for no election after it lost one.
 const ELECTION_PAUSE: Duration = Duration::from_millis(1_500);
-/// Longest wait for the renewal after a suspension: it takes milliseconds, and a
-/// store that does not answer ends no term.
+/// Longest wait for the renewal after a suspension. A renewal takes milliseconds, and a store that
+/// does not respond does not end the term.
 const RENEWAL_TIMEOUT: Duration = Duration::from_secs(1);
-/// Times that the pass is chosen anew because it began before it was held.
+/// Number of times that a pass is chosen again because the previous choice began before it was
+/// held.
 const MAX_HOLDS: u32 = 8;
-/// Longest time for all ranks to prepare, beside twice the time that their copies
-/// are expected to take.
+/// Longest time for all ranks to prepare, in addition to twice the expected time of their copies.
 const PREPARE_TIMEOUT: Duration = Duration::from_secs(4);
-/// Time between two looks whether the switch has taken place, and their number.
+/// Interval at which the driver checks whether the switch has taken place.
 const SWITCH_POLL: Duration = Duration::from_millis(20);
-/// See [`SWITCH_POLL`].
+/// Number of checks; see [`SWITCH_POLL`].
 const SWITCH_POLLS: u32 = 25;
-/// Time that rank 1 lets rank 0 go first at an election; others wait longer by
-/// the root of their rank, so that the last of hundreds waits for a second and
-/// not for many, and few more than one stand before all have heard of the first:
-/// that takes the store and its watchers some 50 ms.
+/// Delay with which rank 1 stands for election after rank 0. The delay of a higher rank grows with
+/// the square root of the rank, so that the last of hundreds waits one second instead of many. It
+/// also keeps more than a few ranks from standing before all have received the result of the first
+/// one, which takes the store and its watchers some 50 ms.
 const ELECTION_STAGGER: Duration = Duration::from_millis(40);
 
-/// What a driver works with.
+/// Dependencies of a driver.
 pub struct Parts<S, E> {
-    /// The engine beside it.
+    /// Rank of the engine beside the driver.
     pub rank: Arc<Rank<E>>,
-    /// What is known of the store.
+    /// Local copy of the store.
     pub mirror: Arc<Mirror>,
-    /// The store.
+    /// Client of the store.
     pub store: Arc<S>,
     /// Settings.
     pub settings: settings::Sidecar,
-    /// The group, as this sidecar reaches it.
+    /// Ranks of the group, as this sidecar reaches them.
     pub group: Arc<Group<E>>,
     /// Metrics.
     pub metrics: Arc<Metrics>,
 }
 
-/// The map of a change, and how it is told; both are empty where a change of an
-/// earlier driver is ended.
+/// Map of a change, and what it is encoded against. Both are empty if the change of an earlier
+/// driver is completed or undone.
 #[derive(Debug, Default)]
 struct Plan {
     map: Arc<Map>,
     source: Source,
 }
 
-/// The driver.
+/// Driver of the group that the engine beside it belongs to.
 pub struct Driver<P, S, E> {
     rank: Arc<Rank<E>>,
     mirror: Arc<Mirror>,
@@ -93,28 +95,28 @@
     group: Arc<Group<E>>,
     name: String,
     catalog: catalog::Catalog<P>,
-    /// When it stood for election in vain.
+    /// Time of the last lost election.
     lost_election: Option<boot::Instant>,
-    /// When it last wrote the members of its group.
+    /// Time of the last write of the group's members.
     published: Option<boot::Instant>,
 }
 
-/// Why a change was left as it is.
+/// Reasons why a change is dropped unfinished.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 enum Stopped {
-    /// The group has broken, or has formed anew.
-    #[error("epoch is over")]
+    /// The group has broken or has formed again.
+    #[error("epoch ended")]
     Epoch,
     /// Another driver has a higher term.
     #[error("superseded")]
     Superseded,
-    /// The term has made as many maps as it may.
-    #[error("term is used up")]
+    /// The term has created as many maps as it may.
+    #[error("term has no versions left")]
     Exhausted,
 }
 
 impl<P: Protocol, S: Store, E: Engine> Driver<P, S, E> {
-    /// A driver that is not elected.
+    /// Creates a driver that is not elected.
     pub fn new(parts: Parts<S, E>) -> Driver<P, S, E> {
         let settings = parts.settings;
         Driver {
@@ -131,7 +133,7 @@
         }
     }
 
-    /// Stands for election and drives, again and again, until it is stopped.
+    /// Repeatedly stands for election and drives the group, until it is stopped.
     pub async fn run(mut self, mut stop: watch::Receiver<bool>) {
         let mut watchdog = Watchdog::default();
         while !*stop.borrow_and_update() {
@@ -149,13 +151,13 @@
             self.metrics.driving.set(0);
             log::info!("driver resigned group={group} term={}", term.number);
             if let Err(error) = self.store.end(term.lease).await {
-                log::warn!("lease not ended error=\"{error}\" next=lapse");
+                log::warn!("cannot end lease error=\"{error}\" next=lapse");
             }
         }
     }
 
-    /// Stands for election if the group has no driver, or if its driver left
-    /// it standing still within a change of the map.
+    /// Stands for election if the group has no driver, or if its driver left it blocked within a
+    /// change of the map.
     async fn elect(&mut self, watchdog: &mut Watchdog) -> Option<(Arc<str>, Term)> {
         let report = self.rank.engine.report().await.ok()?;
         let place = report.group.clone().filter(|place| place.open)?;
@@ -171,7 +173,7 @@
         if self.engines().is_empty() {
             return None;
         }
-        // The lowest rank goes first, so that few stand at once.
+        // The lowest rank stands first, so that few ranks stand at the same time.
         if !own {
             let part = 1.0 + rand::random::<f64>();
             tokio::time::sleep(ELECTION_STAGGER.mul_f64(f64::from(place.rank).sqrt() * part)).await;
@@ -202,7 +204,7 @@
         term.map(|term| (place.name, term))
     }
 
-    /// Drives until the term is over or the process is to stop.
+    /// Drives the group until the term ends or the process is to stop.
     async fn drive(&mut self, group: &str, term: Term, stop: &watch::Receiver<bool>) {
         let (mirror, store) = (self.mirror.clone(), self.store.clone());
         let name: Arc<str> = group.into();
@@ -232,7 +234,7 @@
         kept.abort();
     }
 
-    /// One round: learn, decide, change.
+    /// Runs one round: reads the state of the group, decides about a change and carries it out.
     async fn round(&mut self, term: u64, state: &mut State) -> Result<(), Stopped> {
         let Ok(report) = self.rank.engine.report().await else { return Ok(()) };
         self.catalog.update(&self.mirror);
@@ -242,7 +244,7 @@
             return Ok(());
         };
         let Some((engine, experts)) = self.engine_config() else { return Ok(()) };
-        // A hold between two rounds is one of an earlier driver that came late.
+        // A hold between two rounds is a delayed order of an earlier driver.
         let stale_hold = report.held.is_some();
         if state.view.epoch != place.epoch || state.view.ranks.is_empty() || stale_hold {
             state.next_epoch();
@@ -250,7 +252,7 @@
                 return Ok(());
             }
         }
-        // The store may have lost them.
+        // Repeated in each round because the store may have lost the entry.
         self.publish(&place, &state.view.ranks);
         self.read_counts(term, engine.slots, state).await;
         plan::detect_shift(state, &experts);
@@ -276,8 +278,8 @@
         Ok(())
     }
 
-    /// Waits until the switch has taken place: an engine refuses to prepare
-    /// another map before. A group without requests begins no pass.
+    /// Waits until the switch has taken place, because an engine rejects orders to prepare another
+    /// map before. The number of checks is limited because a group without requests begins no pass.
     async fn wait_for_switch(&self, version: u64) {
         for _ in 0..SWITCH_POLLS {
             match self.rank.engine.report().await {
--- a/sidecar/src/drive/change.rs
+++ b/sidecar/src/drive/change.rs
@@ -1,4 +1,4 @@
-//! How a driver takes a change of the map to its end.
+//! Execution of a change of the map by the driver.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,7 +18,7 @@
 use crate::state::{self, State};
 
 impl<P: Protocol, S: Store, E: Engine> Driver<P, S, E> {
-    /// Takes a change to its end.
+    /// Carries a change out to its end.
     pub(super) async fn run_change(
         &self,
         term: u64,
@@ -67,7 +67,7 @@
         Ok(outcome)
     }
 
-    /// Gives the orders of the present phase and takes their effects.
+    /// Sends the orders of the current phase and applies their effects.
     async fn run_phase(
         &self,
         term: u64,
@@ -105,7 +105,7 @@
     }
 }
 
-/// Takes what came of an order at a rank.
+/// Applies the answer of a rank to an order.
 fn apply(
     switch: &mut Switch,
     (rank, order): (usize, switch::Order),
--- a/sidecar/src/drive/discover.rs
+++ b/sidecar/src/drive/discover.rs
@@ -1,4 +1,4 @@
-//! What a driver asks of its group, and of the copy of the store.
+//! Reads the driver's view of its group from the ranks and from the local copy of the store.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -20,14 +20,14 @@
 use crate::state::{self, State};
 
 impl<P: Protocol, S: Store, E: Engine> Driver<P, S, E> {
-    /// Engines of this sidecar's service, with their zones.
+    /// Returns the engines of this sidecar's service, with their availability zones.
     pub(super) fn engines(&self) -> BTreeMap<SocketAddr, Arc<str>> {
         let service = &*self.settings.engine.service;
         let servers = self.catalog.servers().filter(|server| *server.service == *service);
         servers.map(|server| (server.address, server.zone.clone())).collect()
     }
 
-    /// What the configuration says of the engines and of their experts.
+    /// Returns the configuration of the engines and of their experts.
     pub(super) fn engine_config(&self) -> Option<(route::Engine, route::Experts)> {
         let service = &self.settings.engine.service;
         let services = &self.catalog.config()?.services;
@@ -36,8 +36,8 @@
         Some((engine, experts))
     }
 
-    /// Learns which engine is which rank and what they hold, and ends what
-    /// another driver has begun. Returns whether the whole group is known.
+    /// Determines which engine is which rank and which experts it holds, and completes or undoes a
+    /// change that another driver has begun. Returns whether the state of the whole group is known.
     pub(super) async fn discover(
         &mut self,
         term: u64,
@@ -50,7 +50,7 @@
             self.release_without(term, place, &ranks, state).await?;
         }
         let Some(ranks) = ranks.into_iter().collect::<Option<Vec<_>>>() else {
-            log::info!("group not known whole epoch={} missing={missing}", place.epoch);
+            log::info!("group incomplete epoch={} missing={missing}", place.epoch);
             return Ok(false);
         };
         let (addresses, conditions): (Vec<_>, Vec<_>) = ranks.into_iter().unzip();
@@ -60,21 +60,21 @@
         let states: Vec<switch::Condition> =
             state.view.conditions.iter().map(group::condition).collect();
         if let Some(switch) = Switch::resume(&states) {
-            log::warn!("change of an earlier driver found version={}", switch.version());
+            log::warn!("unfinished change of an earlier driver version={}", switch.version());
             self.run_change(term, state, switch, &Plan::default()).await?;
             state.view.ranks.clear();
             return Ok(false);
         }
         if states.iter().any(|state| state.armed.is_some()) {
-            // An earlier driver's change takes place at its pass.
+            // The ranks are armed, so that the earlier driver's change takes effect at its pass.
             state.view.ranks.clear();
             return Ok(false);
         }
         Ok(state::load_map(state))
     }
 
-    /// Finds the engine of each rank: asks those that were its members before,
-    /// and the service's others only where some are missing.
+    /// Determines the engine of each rank. Queries the previous members first, and the other
+    /// engines of the service only if ranks are missing.
     async fn find_ranks(
         &self,
         term: u64,
@@ -109,8 +109,8 @@
         Ok(ranks)
     }
 
-    /// Tells the gateways, through the store, which engines belong to the
-    /// group, unless they know. Nothing waits for it.
+    /// Writes the engines of the group to the store for the gateways, unless the entry is up to
+    /// date. Runs in the background.
     pub(super) fn publish(&mut self, place: &engine::Group, ranks: &[SocketAddr]) {
         let mut members = ranks.to_vec();
         members.sort();
@@ -125,8 +125,8 @@
         tokio::spawn(async move { membership::publish(&*store, &mirror, &group, &entry).await });
     }
 
-    /// Lets the group go on that a driver left held whose own rank is the only
-    /// one that did not answer, and cannot have been armed.
+    /// Releases a group that a driver left held, if the driver's own rank is the only one that did
+    /// not answer and that rank cannot be armed.
     async fn release_without(
         &self,
         term: u64,
@@ -143,11 +143,11 @@
             return Ok(());
         };
         log::warn!(
-            "held group let go on without its driver's rank version={} pass={}",
+            "releasing held group without its driver's rank version={} pass={}",
             switch.version(),
             switch.pass()
         );
-        // The rank that did not answer gets no order.
+        // The rank that did not answer is sent no order, so that any address does.
         let own = self.settings.engine.address;
         let address = |rank: &Option<(SocketAddr, wire::Condition)>| {
             rank.as_ref().map_or(own, |(address, _)| *address)
@@ -178,8 +178,8 @@
         state.demand.add(&survey.counts);
     }
 
-    /// Takes how slow ranks are: at each round those of the sample, and at some
-    /// rounds all others.
+    /// Updates the slowness of the ranks: of the sample in each round, and of all ranks every
+    /// [`SLOWNESS_ROUNDS`] rounds.
     async fn update_slowness(&self, term: u64, state: &mut State, sample: &[wire::Condition]) {
         let ranks = state.view.ranks.len();
         state.slowness.resize(ranks, 1.0);
@@ -196,7 +196,7 @@
             let Some(slowness) = state.slowness.get_mut(condition.rank as usize) else { continue };
             let now = if condition.slowness < MIN_SLOWNESS { 1.0 } else { condition.slowness };
             if (now - *slowness).abs() > f64::EPSILON {
-                log::info!("rank's speed changed rank={} slowness={now:.2}", condition.rank);
+                log::info!("rank slowness changed rank={} slowness={now:.2}", condition.rank);
             }
             *slowness = now;
         }
--- a/sidecar/src/election.rs
+++ b/sidecar/src/election.rs
@@ -1,8 +1,9 @@
-//! Which sidecar drives a group: whoever holds the group's key in the store.
+//! Election of the driver of a group: the driver is the sidecar that holds the group's key in the
+//! store.
 //!
-//! The key goes with a lease, and its revision is the driver's term, which
-//! only rises, also where the store has lost the key. A driver that has lost the key without knowing it does no harm:
-//! sidecars refuse orders of a lower term than they have seen.
+//! The key is bound to a lease. Its revision is the driver's term, which only rises, even if the
+//! store has lost the key. A driver that has lost the key without noticing does no harm: sidecars
+//! reject orders of a lower term than the highest one they have received.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,39 +13,39 @@
 use loftcove_mirror::{Mirror, OWN_PREFIX};
 use tokio::sync::{Notify, watch};
 
-/// How long the key outlasts a driver that died. No map changes meanwhile.
+/// Time that the key outlasts a driver that crashed. No map is changed meanwhile.
 const TTL: Duration = Duration::from_millis(2_500);
-/// Time between two renewals.
+/// Interval between two renewals.
 const RENEWAL_INTERVAL: Duration = Duration::from_millis(800);
-/// First pause after a renewal that failed; it doubles up to the time between
-/// two. A renewal lost on a silent connection, which takes 0.7 s, and the next
-/// one come within the time that the key outlasts the one before.
+/// First pause after a failed renewal. The pause doubles up to [`RENEWAL_INTERVAL`]. If a renewal
+/// is lost on a silent connection, which takes 0.7 s, the next one still falls within the time that
+/// the key outlasts the one before.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// Between the name of a host and the number of a run.
+/// Separator between the name of a host and the identifier of a run.
 const RUN_SEPARATOR: char = '#';
 
-/// The key of a group's driver.
+/// Returns the key of a group's driver.
 pub fn key(group: &str) -> Arc<str> {
     format!("{OWN_PREFIX}drivers/{group}").into()
 }
 
-/// A term as driver.
+/// Term of a driver.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Term {
-    /// Its number, the ordinal of the key's revision.
+    /// Number of the term: the ordinal of the key's revision.
     pub number: u64,
-    /// Lease of its key.
+    /// Lease of the key.
     pub lease: store::Lease,
 }
 
-/// Name that a run of a sidecar drives by; each run has its own.
+/// Returns a name, unique to each run of a sidecar, under which that run drives.
 pub fn run_name(host: &str) -> String {
     format!("{host}{RUN_SEPARATOR}{:08x}", rand::random::<u32>())
 }
 
-/// Whether a group's driver was this host's sidecar, in an earlier run or in a term that
-/// it has left: its term need not run out.
+/// Returns whether a group's driver was this host's sidecar, in an earlier run or in a term that it
+/// has resigned. Such a term can be replaced without waiting until it expires.
 pub fn is_own(mirror: &Mirror, key: &str, name: &str) -> bool {
     let Some(value) = mirror.record(key).and_then(|record| record.value) else { return false };
     let host = |name: &str| name.rsplit_once(RUN_SEPARATOR).map(|(host, _)| host.to_owned());
@@ -52,14 +53,13 @@
     host(driver).is_some() && host(driver) == host(name)
 }
 
-/// Revision of a key, zero where it does not exist.
+/// Returns the revision of a key, or zero if the key does not exist.
 pub fn revision(mirror: &Mirror, key: &str) -> store::Revision {
     mirror.record(key).map_or(store::Revision::ZERO, |record| record.revision)
 }
 
-/// Tries to become driver, once, in the place of the one whose key has the
-/// revision `known`; zero where there is none. `name` tells this run of this
-/// host from all others.
+/// Tries once to become driver in place of the one whose key has the revision `held_revision`,
+/// which is zero if there is none. `name` identifies this run of this host.
 pub async fn campaign<S: Store>(
     store: &S,
     mirror: &Mirror,
@@ -79,9 +79,9 @@
             return Ok(Some(Term { number: revision.ordinal(), lease }));
         }
         Ok(_) => {}
-        // The write may have been done: the copy of the store will show it.
+        // The write may have succeeded; in that case the local copy of the store will contain it.
         Err(store::Error::Lost(reason)) => {
-            log::warn!("election unsettled group={group} reason=\"{reason}\" next=read-back");
+            log::warn!("election result unknown group={group} reason=\"{reason}\" next=read-back");
             tokio::time::sleep(RENEWAL_INTERVAL).await;
             let own = mirror.record(&key(group)).filter(|record| {
                 record.value.as_ref().is_some_and(|value| value == name.as_bytes())
@@ -96,12 +96,12 @@
     Ok(None)
 }
 
-/// Renewals of a term, as its driver follows them.
+/// Renewals of a term, as observed by its driver.
 #[derive(Debug)]
 pub struct Renewals {
-    /// When the last one was sent that came to an end.
+    /// Time at which the last completed renewal was sent.
     last: watch::Sender<boot::Mark>,
-    /// Asks for one now.
+    /// Requests an immediate renewal.
     requested: Notify,
 }
 
@@ -112,23 +112,22 @@
 }
 
 impl Renewals {
-    /// Waits for a renewal if the host was suspended since the last one: the
-    /// term may have lapsed meanwhile, and the timer of the next renewal does
-    /// not count that time. Returns whether it was.
+    /// Waits for a renewal if the host was suspended since the last one, and returns whether it
+    /// was. The term may have expired meanwhile, and the timer of the next renewal does not count
+    /// the time of the suspension.
     pub async fn check(&self) -> bool {
         let Some(time) = self.last.borrow().suspended_for() else { return false };
         log::warn!("host suspended ms={} next=renew", time.as_millis());
         let mut last = self.last.subscribe();
         self.requested.notify_one();
-        // Both end together with the driver.
+        // The sender is dropped only together with the driver.
         last.changed().await.unwrap_or_default();
         true
     }
 }
 
-/// Renews a term; returns when it is over. Where the store does not answer,
-/// the term goes on: nobody else can have begun one without the store, and if
-/// somebody has, sidecars refuse this one's orders.
+/// Renews a term until it ends. If the store does not respond, the term continues: no other sidecar
+/// can begin a term without the store, and if one has begun, sidecars reject this driver's orders.
 pub async fn renew<S: Store>(
     store: &S,
     mirror: &Mirror,
@@ -158,7 +157,8 @@
             }
             Err(error) => {
                 pause = if store_lost { (pause * 2).min(RENEWAL_INTERVAL) } else { RETRY_PAUSE };
-                // Heeded no longer than until the next renewal: the term hangs on it.
+                // The pause that the store asks for is limited to the interval between two
+                // renewals, because the term depends on them.
                 pause = pause.max(error.rest().min(RENEWAL_INTERVAL));
                 if !std::mem::replace(&mut store_lost, true) {
                     log::warn!("dependency lost name=store error=\"{error}\"");
