--- a/sidecar/src/drive.rs
+++ b/sidecar/src/drive.rs
@@ -105,13 +105,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 enum Stopped {
     /// The group has broken or has formed again.
-    #[error("epoch ended")]
+    #[error("epoch is over")]
     Epoch,
     /// Another driver has a higher term.
     #[error("superseded")]
     Superseded,
     /// The term has created as many maps as it may.
-    #[error("term has no versions left")]
+    #[error("term is used up")]
     Exhausted,
 }
 
--- a/sidecar/src/group.rs
+++ b/sidecar/src/group.rs
@@ -18,29 +18,29 @@
 use crate::rank::{self, Rank};
 use crate::relay::{self, Errand, Work};
 
-/// Ranks that are served directly. A message to one takes about a millisecond
-/// of a small host's processor, which is less than the way over a relay while
-/// there are no more than these.
+/// Number of ranks up to which each rank is called directly. A message to one takes about a
+/// millisecond of a small host's processor, so that up to this number direct calls are faster than
+/// a relay.
 const DIRECT: usize = 32;
-/// Parts that more ranks are split into: sixteen messages of 2 KB take 43 ms on
-/// a link of 6 Mbit/s, and two levels of them reach 256 ranks, three 4,096.
+/// Number of parts that more ranks are split into. Sixteen messages of 2 KB take 43 ms on a link of
+/// 6 Mbit/s; two levels of parts reach 256 ranks, and three reach 4,096.
 const PARTS: usize = 16;
-/// Parts that ranks are split into where only sums are wanted: about the root
-/// of the ranks that are asked, so that whoever drives reads as much as a relay.
+/// Number of parts that ranks are split into if only sums are requested. It is about the square
+/// root of the number of ranks, so that the driver reads as much as a relay.
 const SUM_PARTS: usize = 4;
-/// Time within which a relay begins its answer. It takes a millisecond or two;
-/// one that is gone must cost less than a tenth of a second.
+/// Time within which a relay must begin its answer. It takes a millisecond or two; an unavailable
+/// relay must cost less than a tenth of a second.
 const RELAY_TIMEOUT: Duration = Duration::from_millis(80);
-/// Relays that are tried for a part until its ranks are asked one by one.
+/// Number of relays that are tried for a part before its ranks are called one by one.
 const RELAY_TRIES: usize = 2;
-/// How long a relay that was silent is passed over.
+/// Time for which a relay that did not answer is not used as one.
 const RELAY_PENALTY: Duration = Duration::from_secs(5);
 
-/// Makes a client of an engine.
+/// Function that creates a client of the engine at an address.
 pub type Connect<E> = Box<dyn Fn(SocketAddr) -> E + Send + Sync>;
 
-/// The ranks that are known, by the address of their engine. Its locks are held
-/// one at a time, and never across a wait.
+/// Known ranks by the address of their engine. At most one of the locks is held at a time, and none
+/// across an await point.
 pub struct Group<E> {
     own: SocketAddr,
     port: u16,
@@ -48,11 +48,11 @@
     members: Mutex<BTreeMap<SocketAddr, Arc<Member<E>>>>,
     /// Availability zones of the engines, as far as they are known.
     zones: Mutex<BTreeMap<SocketAddr, Arc<str>>>,
-    /// Relays that gave no answer, and when.
+    /// Relays that did not answer, and when.
     silent: Mutex<BTreeMap<SocketAddr, boot::Instant>>,
 }
 
-/// What the group came to say.
+/// State of the group as its ranks reported it.
 #[derive(Debug, Clone, Default)]
 pub struct View {
     /// Name of the group.
@@ -66,25 +66,25 @@
 }
 
 impl<E: Engine> Group<E> {
-    /// A group with this sidecar's own engine; all sidecars listen on `port`.
+    /// Creates a group with this sidecar's own engine. All sidecars listen on `port`.
     pub fn new(own: SocketAddr, port: u16, connect: Connect<E>) -> Group<E> {
         let (members, zones, silent) = Default::default();
         Group { own, port, connect, members, zones, silent }
     }
 
-    /// Address of this sidecar's own engine.
+    /// Returns the address of this sidecar's own engine.
     pub fn own(&self) -> SocketAddr {
         self.own
     }
 
-    /// Takes the addresses of the engines with their zones, and forgets others.
+    /// Sets the addresses of the engines with their zones and removes all other engines.
     pub fn set_engines(&self, engines: BTreeMap<SocketAddr, Arc<str>>) {
         lock(&self.members).retain(|address, _| engines.contains_key(address));
         lock(&self.silent).retain(|address, _| engines.contains_key(address));
         *lock(&self.zones) = engines;
     }
 
-    /// The rank of an engine.
+    /// Returns the rank of an engine.
     fn member(&self, address: SocketAddr) -> Option<Arc<Member<E>>> {
         if let Some(member) = lock(&self.members).get(&address) {
             return Some(member.clone());
@@ -93,7 +93,7 @@
         let endpoint = match peer::endpoint(sidecar, member::CONNECT_TIMEOUT) {
             Ok(endpoint) => endpoint,
             Err(error) => {
-                log::error!("sidecar's address is not usable address={sidecar} error=\"{error}\"");
+                log::error!("invalid sidecar address address={sidecar} error=\"{error}\"");
                 return None;
             }
         };
@@ -103,8 +103,8 @@
         Some(lock(&self.members).entry(address).or_insert(member).clone())
     }
 
-    /// Parts that these ranks are served in, as places in the list; one for
-    /// each rank where they are few.
+    /// Splits the ranks into the parts that they are reached in, as indices into `engines`. If
+    /// there are few ranks, each is a part.
     pub fn parts(&self, engines: &[SocketAddr]) -> Vec<Vec<usize>> {
         if engines.len() <= DIRECT {
             return (0..engines.len()).map(|place| vec![place]).collect();
@@ -117,8 +117,7 @@
         tree::split(engines.iter().map(|engine| zones.get(engine).cloned()), parts)
     }
 
-    /// Asks some ranks for their state, all at once; those that do not answer
-    /// are left out.
+    /// Queries the state of some ranks concurrently. Ranks that do not answer are omitted.
     async fn inspect_directly(
         &self,
         local: &Rank<E>,
@@ -137,8 +136,8 @@
         answers.into_iter().flatten().collect()
     }
 
-    /// Reads the state of ranks, by relays where they are many; those that do
-    /// not answer are left out.
+    /// Reads the state of ranks, through relays if there are many. Ranks that do not answer are
+    /// omitted.
     pub async fn survey(
         &self,
         local: &Rank<E>,
@@ -148,8 +147,7 @@
         self.survey_parts(local, engines, inspection, self.parts(engines)).await
     }
 
-    /// Reads how often experts were chosen at ranks, of which relays return
-    /// the sum.
+    /// Reads how often experts were chosen at some ranks. Relays return the sum.
     pub async fn sum(
         &self,
         local: &Rank<E>,
@@ -193,7 +191,8 @@
         let (left, counts) =
             self.serve_by_relay(&part, &work, member::INSPECT_TIMEOUT, &mut take).await;
         survey.counts = counts;
-        // Where experts are not asked for, the next look will do.
+        // If experts are not requested, ranks that did not answer a relay are left to the next
+        // survey.
         let direct = part.len() == 1 || inspection.experts;
         let left = if direct { left } else { Vec::new() };
         for (engine, mut condition) in self.inspect_directly(local, &left, inspection).await {
@@ -203,9 +202,9 @@
         survey
     }
 
-    /// Carries an order out at the ranks of a part, by a relay where there are
-    /// several. Ranks that lack the map of before, as all do after a restart, are
-    /// told the whole one by a relay too.
+    /// Carries out an order at the ranks of a part, through a relay if there are several. Ranks
+    /// that lack the base map, as all do after a restart, are sent the whole map, through a relay
+    /// too.
     pub async fn deliver(
         &self,
         local: &Rank<E>,
@@ -233,8 +232,7 @@
         all
     }
 
-    /// Has relays serve a part; returns the ranks that are left, and the sum of
-    /// the counts.
+    /// Has relays serve a part. Returns the ranks that were not served, and the sum of the counts.
     async fn serve_by_relay(
         &self,
         part: &[SocketAddr],
@@ -243,7 +241,8 @@
         take: &mut impl FnMut(SocketAddr, wire::Finding),
     ) -> (Vec<SocketAddr>, Vec<u32>) {
         let mut engines = part.to_vec();
-        // A rank that was silent is no relay for a while; nor is the driver's own.
+        // A rank that recently did not answer is the last choice for a relay, and so is the
+        // driver's own rank.
         engines.sort_by_key(|engine| self.is_silent(*engine) || *engine == self.own);
         let mut silent = Vec::new();
         while engines.len() > 1 && silent.len() < RELAY_TRIES {
@@ -269,8 +268,8 @@
         lock(&self.silent).get(&engine).is_some_and(|at| at.elapsed() < RELAY_PENALTY)
     }
 
-    /// Has the first rank of an errand run it; `None` where it does not begin
-    /// its answer in time.
+    /// Sends an errand to its first rank, which acts as the relay. Returns `None` if that rank does
+    /// not begin its answer in time.
     pub async fn call_relay(&self, errand: &Errand) -> Option<wire::Findings> {
         let relay = *errand.engines.first()?;
         let mut client = self.member(relay)?.client.clone();
@@ -279,7 +278,7 @@
             Ok(Ok(answer)) => answer.into_inner(),
             other => {
                 let cause = member::cause(other);
-                log::info!("relay passed over engine={relay} cause=\"{cause}\"");
+                log::info!("relay did not answer engine={relay} cause=\"{cause}\"");
                 lock(&self.silent).insert(relay, boot::Instant::now());
                 return None;
             }
@@ -296,15 +295,15 @@
             Ok(Ok(())) => {}
             other => {
                 let cause = member::cause(other);
-                log::info!("relay cut short engine={relay} cause=\"{cause}\"");
+                log::info!("relay answer incomplete engine={relay} cause=\"{cause}\"");
                 lock(&self.silent).insert(relay, boot::Instant::now());
             }
         }
         Some(all)
     }
 
-    /// Does work at one rank by its sidecar; nothing is found where that does
-    /// not answer.
+    /// Does work at one rank through its sidecar. Returns no findings if the sidecar does not
+    /// answer.
     pub async fn call_rank(
         &self,
         engine: SocketAddr,
@@ -329,13 +328,13 @@
             Ok(Ok(findings)) => findings,
             other => {
                 let cause = member::cause(other);
-                log::info!("rank not served by relay engine={engine} cause=\"{cause}\"");
+                log::info!("rank did not answer relay engine={engine} cause=\"{cause}\"");
                 wire::Findings::default()
             }
         }
     }
 
-    /// Carries an order out at a rank, past its sidecar if that does not answer.
+    /// Carries out an order at a rank. Calls the engine directly if the sidecar does not answer.
     async fn carry(&self, local: &Rank<E>, engine: SocketAddr, broadcast: &Broadcast) -> Answer {
         let step = &broadcast.step;
         if engine == self.own {
@@ -345,8 +344,8 @@
         let Some(member) = self.member(engine) else {
             return Answer::new(wire::Effect::Unknown, None);
         };
-        // The driver gives this order itself: if its host freezes right after
-        // it, the host that the group waits for is another one.
+        // The driver sends this order to the engine itself. If the driver's host freezes right
+        // afterwards, the host that the group waits for is another one.
         if matches!(step.order, Order::Hold { .. })
             && matches!(member.engine.order_unchecked(step).await, Ok(Verdict::Accepted))
         {
@@ -368,7 +367,7 @@
     mutex.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
 }
 
-/// What a look at several ranks brought.
+/// Result of a survey of several ranks.
 #[derive(Debug, Default)]
 pub struct Survey {
     /// States of the ranks, by the address of their engine.
@@ -377,12 +376,12 @@
     pub counts: Vec<u32>,
 }
 
-/// What came of an order.
+/// Answer of a rank to an order.
 #[derive(Debug)]
 pub struct Answer {
-    /// Its effect.
+    /// Effect of the order.
     pub effect: wire::Effect,
-    /// State of the engine after it.
+    /// State of the engine after the order.
     pub condition: Option<wire::Condition>,
 }
 
@@ -392,7 +391,7 @@
     }
 }
 
-/// The engine's order for one of the machine's.
+/// Converts an order of the state machine to one for an engine.
 pub fn order(order: switch::Order, map: &Arc<Map>) -> Order {
     match order {
         switch::Order::Prepare { version } => Order::Prepare { version, map: map.clone() },
@@ -403,7 +402,7 @@
     }
 }
 
-/// The machine's view of a rank's state.
+/// Converts the state of a rank to the form that the state machine uses.
 pub fn condition(condition: &wire::Condition) -> switch::Condition {
     let armed = (condition.armed_version, condition.armed_pass);
     switch::Condition {
--- a/sidecar/src/member.rs
+++ b/sidecar/src/member.rs
@@ -1,4 +1,4 @@
-//! One rank of a group, as others reach it: by its sidecar, and past it.
+//! One rank of a group, as others reach it: through its sidecar, or its engine directly.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,31 +14,31 @@
 
 /// Longest wait for a connection.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// Longest wait for a sidecar's state, which takes a few milliseconds.
+/// Longest wait for the state from a sidecar, which takes a few milliseconds.
 pub const INSPECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// Wait for a sidecar's state after which its engine is asked as well: a group
-/// that is held should not wait for both, one after the other.
+/// Time without an answer from a sidecar after which its engine is queried as well. While a group
+/// is held, it should not wait for one after the other.
 const HEDGE_DELAY: Duration = Duration::from_millis(120);
-/// Longest wait for a sidecar to have a map prepared; longer than it takes
-/// until it says that the effect is not known.
+/// Longest wait for a sidecar to have a map prepared. It exceeds the time after which the sidecar
+/// reports that the effect is not known.
 const PREPARE_TIMEOUT: Duration = Duration::from_millis(1_600);
-/// Longest wait for a sidecar to carry out any other order, for which the
-/// group may be standing still; then the engine is asked directly.
+/// Longest wait for a sidecar to carry out any other order, for which the group may be blocked. The
+/// engine is called directly afterwards.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(350);
 
 /// One rank.
 pub struct Member<E> {
-    /// Its sidecar.
+    /// Client of the rank's sidecar.
     pub client: wire::rank_client::RankClient<Channel>,
-    /// The engine itself, for when its sidecar does not answer. The engine's
-    /// word is then older, and each call has a price.
+    /// The engine itself, for when its sidecar does not answer. Its reports are then older, and
+    /// each call has a cost.
     pub engine: Rank<E>,
 }
 
 impl<E: Engine> Member<E> {
-    /// Asks the sidecar for the state of its engine. Where the experts are asked
-    /// for, the group may be standing still until they are known: the engine
-    /// itself is asked as well if the sidecar takes long.
+    /// Queries the sidecar for the state of its engine. If the experts are requested, the group may
+    /// be blocked until they are known. In that case the engine itself is queried as well if the
+    /// sidecar is slow.
     pub async fn inspect(
         &self,
         address: SocketAddr,
@@ -62,8 +62,8 @@
         }
     }
 
-    /// Has the sidecar carry a step out, told by the whole map where it does not
-    /// hold the one of before.
+    /// Has the sidecar carry out a step. Sends the whole map if the sidecar does not hold the base
+    /// map.
     pub async fn carry(&self, broadcast: &Broadcast) -> Result<wire::Result, String> {
         let result = self.carry_message(broadcast.message(), &broadcast.step.order).await?;
         if result.effect() != wire::Effect::BaseMissing {
@@ -90,19 +90,19 @@
         inspection: &wire::Inspection,
     ) -> Option<wire::Condition> {
         log::info!("sidecar silent engine={address} next=ask-engine");
-        // A term is a matter between sidecars.
+        // Terms are recorded by sidecars only.
         let inspection = wire::Inspection { term: 0, ..inspection.clone() };
         match rank::inspect(&self.engine, &inspection).await {
             Ok(condition) => Some(condition),
             Err(error) => {
-                log::info!("engine not inspected engine={address} error=\"{error}\"");
+                log::info!("cannot inspect engine engine={address} error=\"{error}\"");
                 None
             }
         }
     }
 }
 
-/// Longest wait for a sidecar to carry out an order.
+/// Returns the longest wait for a sidecar to carry out an order.
 pub fn order_timeout(order: &Order) -> Duration {
     match order {
         Order::Prepare { .. } => PREPARE_TIMEOUT,
@@ -110,7 +110,7 @@
     }
 }
 
-/// Why a call came to nothing.
+/// Returns why a call failed.
 pub fn cause<T>(call: Result<Result<T, tonic::Status>, Elapsed>) -> String {
     match call {
         Ok(Err(status)) => status.message().to_owned(),
--- a/sidecar/src/rank.rs
+++ b/sidecar/src/rank.rs
@@ -1,10 +1,9 @@
-//! Answers for the engine beside this sidecar, and carries out orders for it.
+//! Reports the state of the engine beside this sidecar and carries out orders for it.
 //!
-//! An order is given again until the engine's own report shows its effect, or
-//! shows that it can no longer be had. Each is valid only as the next one after
-//! those that the engine has taken, so that one which is carried out late, and
-//! after another, is refused by the engine. Orders of a driver that has been
-//! replaced are refused here.
+//! An order is repeated until the engine's report shows its effect, or shows that it can no longer
+//! take effect. Each order states the number of orders that the engine has accepted before it, so
+//! that the engine rejects an order that arrives late, after another one. Orders of a driver that
+//! has been replaced are rejected here.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -21,37 +20,36 @@
 use crate::maps;
 use crate::{codec, relay};
 
-/// Longest time for an order until the driver is told that its effect is not
-/// known. It asks again.
+/// Time after which the driver is told that the effect of an order is not known. The driver then
+/// repeats the order.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(1_200);
-/// Time between two looks whether a map has been copied.
+/// Interval at which the sidecar checks whether a map has been copied.
 const COPY_POLL: Duration = Duration::from_millis(40);
-/// Time after which an order that was accepted and shows no effect is given
-/// again. One to prepare a map is left to the driver, who asks again.
+/// Time after which an accepted order that shows no effect is repeated. An order to prepare a map
+/// is not repeated here, but by the driver.
 const REPEAT_DELAY: Duration = Duration::from_millis(500);
-/// Pause after an order that the engine did not answer or refused.
+/// Pause after an order that the engine rejected, and first pause after a report that failed.
 const RETRY_PAUSE: Duration = Duration::from_millis(10);
-/// Longest pause after a report that failed; the pause doubles up to this while
-/// the engine refuses connections, which takes no time.
+/// Longest pause after a report that failed. The pause doubles up to this while the engine refuses
+/// connections, because such a failure takes no time.
 const MAX_RETRY_PAUSE: Duration = Duration::from_millis(320);
 
-/// Longest time between two looks at the counts for their difference to tell
-/// the present demand: a change of the map, during which nobody looks, takes
-/// less.
+/// Maximum age of the previous counts for their difference to show the current demand. A change of
+/// the map, during which no counts are read, takes less time.
 const MAX_SAMPLE_AGE: Duration = Duration::from_secs(5);
 
-/// The engine and the highest term that was seen of a driver of its group.
+/// The engine and the highest term received from a driver of its group.
 pub struct Rank<E> {
-    /// The engine.
+    /// Client of the engine.
     pub engine: E,
     fence: Mutex<fence::Fence>,
     maps: Mutex<maps::Cache>,
     last_sample: Mutex<Option<Sample>>,
-    /// Whether the engine's reports are fresh, as they are on its own machine.
+    /// Whether the engine's reports are up to date, as they are if it runs on the same machine.
     fresh: bool,
 }
 
-/// Counts that a driver has had.
+/// Counts that were returned to a driver.
 struct Sample {
     at: boot::Instant,
     born: Option<u64>,
@@ -59,8 +57,8 @@
 }
 
 impl Sample {
-    /// How often each expert was chosen from an earlier look to this one; none
-    /// where the engine has started anew between them, and counts from zero.
+    /// Returns how often each expert was chosen since an earlier sample, or `None` if the engine
+    /// was restarted in between, because it then counts from zero.
     fn since(&self, before: &Sample) -> Option<Vec<u32>> {
         if self.born != before.born || self.counts.len() != before.counts.len() {
             return None;
@@ -71,27 +69,27 @@
     }
 }
 
-/// An order of a driver.
+/// Order of a driver.
 #[derive(Debug, Clone)]
 pub struct Step {
-    /// Group that it is for.
+    /// Group that the order is for.
     pub group: Arc<str>,
     /// Term of the driver.
     pub term: u64,
     /// Epoch of the group.
     pub epoch: u64,
-    /// The order.
+    /// Order to the engine.
     pub order: Order,
 }
 
 impl<E: Engine> Rank<E> {
-    /// A sidecar that has seen no term.
+    /// Creates a rank that has received no term.
     pub fn new(engine: E) -> Rank<E> {
         Rank::with(engine, true)
     }
 
-    /// An engine on another machine, whose reports are old: orders do not
-    /// count on the number of orders that they tell.
+    /// Creates a rank whose engine runs on another machine. Its reports may be outdated, so that
+    /// orders are sent without the number of accepted orders that a report contains.
     pub fn remote(engine: E) -> Rank<E> {
         Rank::with(engine, false)
     }
@@ -101,8 +99,8 @@
         Rank { engine, fence, maps, last_sample, fresh }
     }
 
-    /// How often each expert was chosen since a driver last looked; empty where
-    /// nobody did for long.
+    /// Returns how often each expert was chosen since a driver last read the counts, or an empty
+    /// list if none did within [`MAX_SAMPLE_AGE`].
     async fn count_growth(&self) -> Result<Vec<u32>, Error> {
         let Counts { counts, born, .. } = self.engine.counts().await?;
         let now = Sample { at: boot::Instant::now(), born, counts };
@@ -113,11 +111,13 @@
         Ok(growth.unwrap_or_default())
     }
 
-    /// The step that a message tells.
+    /// Decodes the step of a message.
     async fn step(&self, message: &wire::Step) -> Result<Step, Fault> {
         let (version, pass) = (message.version, message.pass);
         let order = match message.operation() {
-            wire::Operation::Unspecified => return Err(Fault::Malformed("no operation".into())),
+            wire::Operation::Unspecified => {
+                return Err(Fault::Malformed("no operation".into()));
+            }
             wire::Operation::Prepare => {
                 let report = self.engine.report().await.map_err(Fault::Engine)?;
                 let ranks = report.group.map_or(0, |group| group.size);
@@ -134,17 +134,17 @@
         Ok(Step { group, term: message.term, epoch: message.epoch, order })
     }
 
-    /// Carries out the step that a message tells.
+    /// Carries out the step of a message.
     pub async fn carry_message(&self, message: &wire::Step) -> Result<wire::Result, Fault> {
         let step = match self.step(message).await {
             Ok(step) => step,
             Err(Fault::Map(maps::Error::BaseMissing)) => {
-                log::info!("map not made version={} reason=base-missing", message.version);
+                log::info!("cannot decode map version={} reason=base-missing", message.version);
                 let effect = wire::Effect::BaseMissing.into();
                 return Ok(wire::Result { effect, condition: None });
             }
             Err(fault) => {
-                log::error!("step not taken term={} error=\"{fault}\"", message.term);
+                log::error!("step rejected term={} error=\"{fault}\"", message.term);
                 return Err(fault);
             }
         };
@@ -153,8 +153,8 @@
         Ok(wire::Result { effect: effect.into(), condition })
     }
 
-    /// Takes a term of a driver of the engine's present group; returns the
-    /// highest one seen. A term of zero claims nothing.
+    /// Records the term of a driver of the engine's current group and returns the highest one
+    /// received. A term of zero records nothing.
     pub fn observe(&self, group: &Arc<str>, term: u64) -> u64 {
         let mut fence = lock(&self.fence);
         let before = fence.observe(group, 0);
@@ -165,7 +165,7 @@
         highest
     }
 
-    /// Carries an order out.
+    /// Carries out a step. Returns its effect and the last report of the engine.
     pub async fn carry(&self, step: &Step) -> (wire::Effect, Option<Report>) {
         let end = boot::Instant::now() + ORDER_TIMEOUT;
         let mut seen = None;
@@ -205,7 +205,7 @@
                             }
                             tokio::time::sleep(RETRY_PAUSE).await;
                         }
-                        // Not known: the next report tells.
+                        // The effect is not known; the next report shows it.
                         Err(Error::Silent(_) | Error::Protocol { .. }) => {}
                     }
                 }
@@ -214,7 +214,7 @@
         (wire::Effect::Unknown, seen)
     }
 
-    /// Gives the order once, without a look at the engine's state.
+    /// Sends the order once, without reading the engine's state first.
     pub async fn order_unchecked(&self, step: &Step) -> Result<Verdict, Error> {
         let verdict = self.engine.order(&step.order, step.epoch, None).await;
         log::info!(
@@ -226,7 +226,7 @@
         verdict
     }
 
-    /// Gives the order once.
+    /// Sends the order once.
     async fn order_once(&self, step: &Step, report: &Report) -> Result<Verdict, Error> {
         let after = self.fresh.then_some(report.orders);
         let verdict = self.engine.order(&step.order, step.epoch, after).await;
@@ -242,16 +242,16 @@
     }
 }
 
-/// Why a message of a step is not carried out.
+/// Reasons why the step of a message is not carried out.
 #[derive(Debug, thiserror::Error)]
 pub enum Fault {
-    /// The message makes no sense.
+    /// The message is malformed.
     #[error("step is malformed: {0}")]
     Malformed(String),
-    /// Its map cannot be made.
+    /// The map of the step cannot be decoded.
     #[error("map of the step: {0}")]
     Map(maps::Error),
-    /// The engine does not tell its place.
+    /// The engine does not report its place in the group.
     #[error(transparent)]
     Engine(Error),
 }
@@ -270,24 +270,24 @@
     mutex.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
 }
 
-/// Times that an engine may refuse an order, in a state in which it should
-/// take it, before the refusal is believed: another order may have come
-/// between the report and this one.
+/// Number of times that an engine may reject an order, in a state in which it should accept it,
+/// before the order counts as refused. Another order may have arrived between the report and this
+/// one.
 const MAX_REFUSALS: u32 = 2;
 
-/// How an order stands by the engine's report.
+/// Progress of an order according to the engine's report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Progress {
-    /// The report shows its effect.
+    /// The report shows the effect of the order.
     Done,
-    /// It can no longer be had.
+    /// The order can no longer take effect.
     Impossible,
-    /// It is to be given.
+    /// The order is to be sent.
     Pending,
 }
 
-/// Whether an order that was accepted then may yet show its effect by itself:
-/// copying takes as long as it takes, and reports do not tell of it.
+/// Returns whether an order accepted at `accepted` may still take effect without being repeated.
+/// Copying may take arbitrarily long, and reports do not show its progress.
 fn in_progress(order: &Order, accepted: boot::Instant) -> bool {
     matches!(order, Order::Prepare { .. }) || accepted.elapsed() < REPEAT_DELAY
 }
@@ -336,20 +336,20 @@
     }
 }
 
-/// The service that other sidecars call.
+/// gRPC service that other sidecars call.
 pub struct Service<E> {
     rank: Arc<Rank<E>>,
     group: Arc<Group<E>>,
 }
 
 impl<E: Engine> Service<E> {
-    /// A service for this engine, which relays to the others of its group.
+    /// Creates the service for this engine. It relays to other ranks of the group.
     pub fn new(rank: Arc<Rank<E>>, group: Arc<Group<E>>) -> Service<E> {
         Service { rank, group }
     }
 }
 
-/// A report as a message.
+/// Encodes a report.
 pub fn condition(term: u64, report: &Report) -> wire::Condition {
     let group = report.group.as_ref();
     let (armed_version, armed_pass) = report.armed.unwrap_or_default();
@@ -375,14 +375,15 @@
     }
 }
 
-/// State of an engine, with what else is asked for.
+/// Returns the state of an engine, with the counts and experts that the inspection asks for.
 pub async fn inspect<E: Engine>(
     rank: &Rank<E>,
     inspection: &wire::Inspection,
 ) -> Result<wire::Condition, Error> {
     let report = rank.engine.report().await?;
     let own = report.group.as_ref();
-    // A driver of another group learns only that this engine is not one of its.
+    // A driver of another group receives no more than that this engine does not belong to its
+    // group.
     let term = own.map_or(0, |own| {
         let same = *own.name == *inspection.group;
         rank.observe(&own.name, if same { inspection.term } else { 0 })
--- a/sidecar/src/relay.rs
+++ b/sidecar/src/relay.rs
@@ -1,11 +1,10 @@
-//! Serves several ranks on behalf of the driver of their group.
+//! Relaying of messages to several ranks on behalf of the driver of their group.
 //!
-//! A driver that sends to every rank itself spends, in a large group, more of
-//! its link and processor than a change may take. So it sends to one rank of
-//! each part ([`loftcove_decision::map::tree`]), which sends on to the others
-//! and returns what came of it. A relay decides nothing: each rank checks term,
-//! epoch and group by itself, and whoever does not answer the relay is left to
-//! the driver.
+//! In a large group, a driver that sends to every rank itself uses more bandwidth and processor
+//! time than a change may take. So it sends an errand to one rank of each part
+//! ([`loftcove_decision::map::tree`]). That rank is the relay: it sends on to the other ranks of
+//! the part and returns their findings. A relay makes no decisions: each rank checks term, epoch
+//! and group itself, and ranks that do not answer the relay are left to the driver.
 
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, SocketAddr};
 use std::sync::Arc;
@@ -21,57 +20,57 @@
 use crate::group::Group;
 use crate::rank::{self, Rank};
 
-/// Findings that may wait for a slow caller.
+/// Number of messages with findings that are buffered for a slow caller.
 pub const QUEUE: usize = 4;
-/// Most ranks of an errand, far more than a group has.
+/// Maximum number of ranks of an errand, far more than a group has.
 const MAX_ENGINES: usize = 1 << 16;
-/// Longest time that an errand may ask for.
+/// Maximum time limit of an errand.
 const MAX_LIMIT: Duration = Duration::from_secs(5);
-/// Time of the limit that a relay leaves for its own relays' answers to reach it.
+/// Part of the time limit that a relay reserves for answers of its own relays to reach it.
 const HOP_TIME: Duration = Duration::from_millis(25);
-/// Findings of steps that are returned together at the most.
+/// Maximum number of findings of steps in one message.
 const BATCH: usize = 64;
 
-/// Why an errand is not run.
+/// Reasons why an errand is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
     /// An address has neither 6 nor 18 bytes.
     #[error("address of an engine is malformed")]
     Address,
-    /// More ranks than any group has.
+    /// The errand lists more ranks than any group has.
     #[error("errand names too many engines")]
     Engines,
-    /// Neither a step nor an inspection.
+    /// The errand contains neither a step nor an inspection.
     #[error("errand asks for nothing")]
     Work,
 }
 
-/// What is done at each rank.
+/// Work to do at each rank.
 #[derive(Debug, Clone)]
 pub enum Work {
-    /// A step is carried out.
+    /// Carry out a step.
     Step(wire::Step),
-    /// The state is read.
+    /// Read the state.
     Inspection(wire::Inspection),
 }
 
-/// What a relay does.
+/// Task of a relay.
 #[derive(Debug, Clone)]
 pub struct Errand {
-    /// What is done.
+    /// Work to do at each rank.
     pub work: Work,
     /// Engines of the ranks.
     pub engines: Vec<SocketAddr>,
-    /// Time until the caller stops waiting.
+    /// Time after which the caller stops waiting.
     pub limit: Duration,
 }
 
 impl Errand {
-    /// Reads a message.
+    /// Decodes an errand.
     ///
     /// # Errors
     ///
-    /// An [`Error`] for one that makes no sense.
+    /// Returns an [`Error`] if the message is malformed.
     pub fn read(message: wire::Errand) -> Result<Errand, Error> {
         if message.engines.len() > MAX_ENGINES {
             return Err(Error::Engines);
@@ -90,7 +89,7 @@
         })
     }
 
-    /// The message.
+    /// Encodes the errand.
     pub fn message(&self) -> wire::Errand {
         let (step, inspection) = match &self.work {
             Work::Step(step) => (Some(step.clone()), None),
@@ -124,7 +123,7 @@
     Some(SocketAddr::new(ip, u16::from_be_bytes(*port)))
 }
 
-/// Adds choices up, rank by rank.
+/// Adds the counts of a rank to a sum.
 pub fn add_counts(sum: &mut Vec<u32>, counts: &[u32]) {
     if sum.is_empty() {
         sum.resize(counts.len(), 0);
@@ -134,7 +133,7 @@
     }
 }
 
-/// Runs an errand until its limit, or until its caller has gone.
+/// Runs an errand until its time limit, or until its caller disconnects.
 pub async fn run<E: Engine>(
     group: Arc<Group<E>>,
     local: Arc<Rank<E>>,
@@ -150,11 +149,11 @@
     };
     tokio::select! {
         () = served => {}
-        () = sender.closed() => log::info!("errand dropped reason=caller-left"),
+        () = sender.closed() => log::info!("errand cancelled reason=caller-left"),
     }
 }
 
-/// Returns what came of a step at each rank as it comes in.
+/// Returns the results of a step in the order in which the ranks answer.
 async fn serve_step<E: Engine>(
     group: &Group<E>,
     local: &Rank<E>,
@@ -180,7 +179,7 @@
     }
 }
 
-/// Returns the states that came in within the limit, and the sum of the counts.
+/// Returns the states that were received within the limit, and the sum of the counts.
 async fn serve_inspection<E: Engine>(
     group: &Group<E>,
     local: &Rank<E>,
@@ -197,13 +196,13 @@
         }
     };
     if tokio::time::timeout(limit, collect).await.is_err() {
-        log::info!("errand's time is over engines={}", errand.engines.len());
+        log::info!("errand timed out engines={}", errand.engines.len());
     }
-    // A caller that has left wants no answer.
+    // The caller may have disconnected.
     sender.send(Ok(all)).await.unwrap_or_default();
 }
 
-/// Runs an errand at the parts of its ranks, each by itself.
+/// Splits an errand into parts and runs them independently of each other.
 fn parts<'a, E: Engine>(
     group: &'a Group<E>,
     local: &'a Rank<E>,
@@ -236,7 +235,7 @@
             group.call_relay(&errand).await.unwrap_or_default()
         }
     };
-    // Places are those of this errand.
+    // Places refer to the part. They are converted to places of this errand.
     findings.findings.retain(|finding| (finding.place as usize) < part.len());
     for finding in &mut findings.findings {
         finding.place = part[finding.place as usize] as u32;
@@ -244,25 +243,25 @@
     findings
 }
 
-/// Does the work at the engine beside this sidecar.
+/// Does the work at this sidecar's own engine.
 async fn serve_own<E: Engine>(local: &Rank<E>, work: &Work) -> wire::Findings {
     match work {
         Work::Step(step) => match local.carry_message(step).await {
             Ok(result) => step_findings(result),
-            // Said where it was found; the driver asks the rank itself.
+            // Logged where the error occurred; the driver calls the rank directly.
             Err(_) => wire::Findings::default(),
         },
         Work::Inspection(inspection) => match rank::inspect(local, inspection).await {
             Ok(condition) => inspection_findings(condition),
             Err(error) => {
-                log::info!("engine not inspected engine=own error=\"{error}\"");
+                log::info!("cannot inspect engine engine=own error=\"{error}\"");
                 wire::Findings::default()
             }
         },
     }
 }
 
-/// What came of a step at one rank.
+/// Converts the result of a step at one rank to findings.
 pub fn step_findings(result: wire::Result) -> wire::Findings {
     let epoch = result.condition.map(|condition| condition.epoch);
     let condition = epoch.map(|epoch| wire::Condition { epoch, ..wire::Condition::default() });
@@ -270,7 +269,7 @@
     wire::Findings { findings: vec![finding], counts: Vec::new() }
 }
 
-/// What was read at one rank.
+/// Converts the state of one rank to findings.
 pub fn inspection_findings(mut condition: wire::Condition) -> wire::Findings {
     let counts = std::mem::take(&mut condition.counts);
     let finding = wire::Finding { condition: Some(condition), ..wire::Finding::default() };
