--- a/sidecar/tests/common/mod.rs
+++ b/sidecar/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Many ranks of one group in this process: a sidecar's service for each, on
-//! an address of its own, before an engine that is a table.
+//! A group of many ranks in this process. Each rank has the service of a sidecar on an address of
+//! its own; its engine is an in-memory table.
 
 #![allow(dead_code, reason = "each test uses a part")]
 
@@ -24,23 +24,23 @@
 pub const TERM: u64 = 7;
 /// Epoch of the group.
 pub const EPOCH: u64 = 3;
-/// Sets of layers.
+/// Number of layer sets.
 pub const SETS: usize = 10;
 
-/// What an engine holds, and what happened to it.
+/// State of an engine, and what was called on it.
 #[derive(Debug, Default)]
 pub struct State {
     pub prepared: Option<(u64, Arc<Map>)>,
     pub armed: Option<(u64, u64)>,
     pub orders: u64,
     pub counts: Vec<u64>,
-    /// When it started, where it tells.
+    /// Start time of the engine, if it reports one.
     pub born: Option<u64>,
-    /// Orders that came past its sidecar.
+    /// Orders that were sent to the engine directly, without its sidecar.
     pub remote_orders: u64,
 }
 
-/// An engine that copies at once.
+/// An engine that copies immediately.
 #[derive(Clone)]
 pub struct Table {
     rank: u32,
@@ -97,24 +97,24 @@
     }
 }
 
-/// What befalls a sidecar.
+/// Fault of a sidecar.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
     /// Connections are refused.
     Gone,
-    /// Connections are taken, and nothing is said on them.
+    /// Connections are accepted, and nothing is sent on them.
     Silent,
 }
 
-/// The ranks.
+/// Ranks of the group.
 pub struct Ranks {
     /// Addresses of the engines, by rank.
     pub engines: Vec<SocketAddr>,
     /// The engines, by rank.
     pub tables: Vec<Table>,
-    /// The group as rank 0 reaches it, which drives.
+    /// The group as rank 0, the driver, reaches it.
     pub group: Arc<Group<Table>>,
-    /// Rank 0.
+    /// Rank of the driver, rank 0.
     pub driver: Arc<Rank<Table>>,
 }
 
@@ -124,7 +124,8 @@
 fn addresses(ranks: usize, port: u16) -> Vec<SocketAddr> {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let number = std::process::id() * 16 + NEXT.fetch_add(1, Ordering::Relaxed);
-    // Two octets for the test, above those of other tests; two for the rank.
+    // The second octet and part of the third identify the test, with values above those of other
+    // tests; the rest of the third octet and the fourth identify the rank.
     let second = 230 + (number % 20) as u8;
     let address = |rank: usize| {
         Ipv4Addr::new(
@@ -137,7 +138,7 @@
     (0..ranks).map(|rank| (address(rank), port).into()).collect()
 }
 
-/// Starts so many ranks; some have a fault.
+/// Starts `size` ranks, some of them with a fault.
 pub async fn start(size: usize, faults: &BTreeMap<usize, Fault>) -> Ranks {
     let engines = addresses(size, ENGINE_PORT);
     let port = free_port(engines[0]).await;
@@ -197,19 +198,19 @@
     Group::new(engines[rank], port, Box::new(connect))
 }
 
-/// A group of whose engines none is reached.
+/// Creates a group whose engines are not reached.
 pub fn unreached(own: SocketAddr) -> Group<Table> {
     let table = Table { rank: 0, size: 1, state: Arc::default(), near: false };
     Group::new(own, ENGINE_PORT, Box::new(move |_| table.clone()))
 }
 
-/// A step of the driver.
+/// Creates a step of the driver.
 pub fn step(order: Order) -> Step {
     Step { group: GROUP.into(), term: TERM, epoch: EPOCH, order }
 }
 
 impl Ranks {
-    /// Has a step carried out at all ranks; returns the effects by rank.
+    /// Delivers a step to all ranks and returns the effects by address.
     pub async fn deliver(
         &self,
         broadcast: &loftcove_sidecar::broadcast::Broadcast,
@@ -222,5 +223,5 @@
     }
 }
 
-/// Longest time that a test waits for what takes milliseconds.
+/// Longest time that a test waits for something that takes milliseconds.
 pub const PATIENCE: Duration = Duration::from_secs(20);
--- a/sidecar/tests/relays.rs
+++ b/sidecar/tests/relays.rs
@@ -1,5 +1,6 @@
-//! A step reaches every rank of a large group by relays, whatever befalls some
-//! of them, and a map reaches each rank by its difference from one it holds.
+//! Tests of relays in a large group. A step must reach every rank even if the sidecars of some
+//! ranks are gone or silent, and a map must reach every rank as a difference from one that it
+//! holds.
 
 #![allow(clippy::unwrap_used, reason = "a test that fails may panic")]
 
@@ -19,7 +20,7 @@
 
 const RANKS: usize = 192;
 
-/// A map that gives each rank of set after set an expert more.
+/// Returns a map with one more expert on one rank of each set.
 fn next(map: &Map, number: usize) -> Map {
     let mut next = map.clone();
     let ranks = map[0].len();
@@ -39,7 +40,7 @@
     difference::round_robin(SETS, 2 * ranks, ranks)
 }
 
-/// All ranks confirmed and have exactly this map.
+/// Asserts that all ranks confirmed the step and hold exactly this map.
 fn assert_prepared(
     ranks: &Ranks,
     effects: &BTreeMap<std::net::SocketAddr, wire::Effect>,
@@ -53,13 +54,13 @@
         let state = table.state.lock().unwrap();
         let (prepared, held) = state.prepared.as_ref().unwrap();
         assert_eq!((*prepared, difference::digest(held)), (version, difference::digest(map)));
-        // Engines compare maps to the letter, whichever way they came.
+        // Engines compare maps exactly, independent of how the maps were sent.
         assert_eq!(first.get_or_insert_with(|| held.clone()), held, "rank {rank}");
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn maps_follow_one_another_by_their_differences() {
+async fn sends_consecutive_maps_as_differences() {
     let ranks = common::start(RANKS, &BTreeMap::new()).await;
     let (first, second) = (next(&opening(RANKS), 1), next(&next(&opening(RANKS), 1), 2));
     let broadcast = prepare(&opening(RANKS), &first, 10);
@@ -68,10 +69,10 @@
     assert_prepared(&ranks, &ranks.deliver(&broadcast).await, &second, 11);
 }
 
-/// Bytes and messages that the driver sends for one change of a few experts
-/// in each set, all phases together, at several sizes of the group.
+/// Measures the bytes and messages that the driver sends for one change of a few experts in each
+/// set, over all phases, at two sizes of the group. They must grow more slowly than the group.
 #[tokio::test]
-async fn what_a_driver_sends_grows_slower_than_the_group() {
+async fn traffic_of_a_driver_grows_slower_than_the_group() {
     let mut before = 0;
     for size in [192, 1_024] {
         let engines: Vec<std::net::SocketAddr> = (0..size)
@@ -93,10 +94,10 @@
             let errand = Errand { work, engines, limit: std::time::Duration::from_secs(1) };
             errand.message().encoded_len()
         };
-        // To prepare and to arm; hold and release go to one rank.
+        // One message each to prepare and to arm; hold and release go to one rank only.
         let bytes = 2 * parts.iter().map(message).sum::<usize>();
         assert!(bytes < 30_000, "{bytes} bytes at {size} ranks");
-        // Six bytes and two of framing name a rank.
+        // Each rank takes six bytes for its address and two of framing.
         let names = 2 * 8 * size;
         assert!(before == 0 || bytes - names < 2 * before, "{bytes} bytes at {size} ranks");
         before = bytes - names;
@@ -104,17 +105,17 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_rank_without_the_base_is_told_the_whole_map() {
+async fn sends_the_whole_map_to_ranks_without_the_base_map() {
     let ranks = common::start(RANKS, &BTreeMap::new()).await;
-    // No rank has seen the map that the next one is told by.
+    // No rank has received the map that the second one is encoded against.
     let (first, second) = (next(&opening(RANKS), 1), next(&next(&opening(RANKS), 1), 2));
     let broadcast = prepare(&first, &second, 10);
     assert_prepared(&ranks, &ranks.deliver(&broadcast).await, &second, 10);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn relays_that_are_gone_or_silent_cost_little() {
-    // The first of many parts, in every zone.
+async fn delivers_steps_despite_unavailable_relays() {
+    // The first ranks of many parts, in every zone. Rank 0 drives and has no fault.
     let gone = (0..8).map(|rank| (rank, Fault::Gone));
     let silent = (8..16).map(|rank| (rank, Fault::Silent));
     let faults: BTreeMap<usize, Fault> = gone.chain(silent).filter(|(rank, _)| *rank > 0).collect();
@@ -126,7 +127,7 @@
         let remote = table.state.lock().unwrap().remote_orders;
         assert!(remote > 0 || !faults.contains_key(&rank), "rank {rank} has no sidecar");
     }
-    // The next step knows whom to pass over: what is left is the wait for the
+    // The second step skips the relays that did not answer the first one. It waits only for those
     // ranks themselves.
     let arm = Broadcast::new(step(Order::Arm { version: 10, pass: 200 }), Source::default());
     let begun = Instant::now();
@@ -136,11 +137,11 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn fences_hold_through_relays() {
+async fn rejects_relayed_steps_of_a_lower_term() {
     let ranks = common::start(RANKS, &BTreeMap::new()).await;
     let inspection =
         wire::Inspection { term: TERM + 1, group: GROUP.to_owned(), ..wire::Inspection::default() };
-    // A rank that does not answer in time is left out of a look.
+    // Ranks that do not answer in time are omitted from the survey, so it is repeated.
     while ranks.group.survey(&ranks.driver, &ranks.engines, &inspection).await.conditions.len()
         < RANKS
     {}
@@ -151,9 +152,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn sums_of_counts_are_those_of_all_ranks() {
+async fn sums_the_counts_of_all_ranks() {
     let ranks = common::start(RANKS, &BTreeMap::new()).await;
-    let look = || async {
+    let survey = || async {
         let inspection = wire::Inspection {
             term: TERM,
             counts: true,
@@ -166,13 +167,13 @@
     for (rank, table) in ranks.tables.iter().enumerate() {
         table.state.lock().unwrap().counts = vec![rank as u64, 1_000];
     }
-    assert!(look().await.counts.is_empty(), "nobody has looked before");
+    assert!(survey().await.counts.is_empty(), "no counts were read before");
     loop {
         for table in &ranks.tables {
             table.state.lock().unwrap().counts[0] += 3;
         }
-        let survey = look().await;
-        // Those that did not answer in time are left out.
+        let survey = survey().await;
+        // Ranks that do not answer in time are omitted from the survey.
         if survey.conditions.len() == 16 && survey.counts == [3 * 16, 0] {
             break;
         }
@@ -181,7 +182,7 @@
 }
 
 #[tokio::test]
-async fn a_map_that_is_not_the_one_meant_never_reaches_an_engine() {
+async fn rejects_maps_that_do_not_match_their_digest_or_base() {
     use loftcove_sidecar::maps;
     use loftcove_sidecar::rank::Fault;
     let ranks = common::start(2, &BTreeMap::new()).await;
@@ -198,14 +199,14 @@
     assert!(matches!(cut, Err(Fault::Map(maps::Error::Malformed(_)))), "{cut:?}");
     let base = carried(|map| map.base += 1).await.unwrap();
     assert_eq!(base.effect(), wire::Effect::BaseMissing);
-    // A shape that no group has takes no memory.
+    // A shape that no group has must not cause an allocation.
     let huge = carried(|map| (map.base, map.sets) = (1, u32::MAX)).await.unwrap();
     assert_eq!(huge.effect(), wire::Effect::BaseMissing);
     assert_eq!(ranks.tables[0].state.lock().unwrap().orders, 0);
 }
 
 #[tokio::test]
-async fn malformed_errands_are_refused() {
+async fn rejects_malformed_errands() {
     let sound = wire::Errand {
         step: Some(wire::Step::default()),
         engines: vec![vec![127, 0, 0, 1, 31, 164].into()],
@@ -214,7 +215,7 @@
     };
     let errand = Errand::read(sound.clone()).unwrap();
     assert_eq!(errand.engines, ["127.0.0.1:8100".parse().unwrap()]);
-    assert!(errand.limit.as_secs() <= 5, "no caller keeps a relay for longer");
+    assert!(errand.limit.as_secs() <= 5, "the limit that a caller asks for is capped");
     let read = |errand| Errand::read(errand).err();
     let short = wire::Errand { engines: vec![vec![1, 2, 3].into()], ..sound.clone() };
     assert_eq!(read(short), Some(Error::Address));
--- a/sidecar/tests/stall.rs
+++ b/sidecar/tests/stall.rs
@@ -1,4 +1,5 @@
-//! A driver is only deposed for what another one can mend.
+//! A driver must be deposed only for a stall that another driver can resolve. Deposing the driver
+//! of a group that is blocked by unreachable ranks would not help.
 
 #![allow(clippy::unwrap_used, reason = "a test that fails may panic")]
 
@@ -25,9 +26,9 @@
     }
 }
 
-/// Looks again and again, for twice the time that a pass may be held; returns
-/// whether the driver was to be deposed.
-async fn looks(watchdog: &mut Watchdog, report: &Report) -> bool {
+/// Observes the report repeatedly for 2 s, longer than a pass may be held. Returns whether the
+/// driver was to be deposed.
+async fn observe(watchdog: &mut Watchdog, report: &Report) -> bool {
     let end = Instant::now() + Duration::from_secs(2);
     while Instant::now() < end {
         if watchdog.observe(report, TERM) {
@@ -39,15 +40,15 @@
 }
 
 #[tokio::test]
-async fn a_group_that_a_cut_keeps_standing_has_a_driver() {
-    // A map is prepared and no pass begins, but nothing is held: ranks are cut
-    // off, and the driver cannot help it.
-    assert!(!looks(&mut Watchdog::default(), &report(40, None)).await);
-    // A hold of a pass that is not the next one stops nothing yet.
-    assert!(!looks(&mut Watchdog::default(), &report(40, Some(43))).await);
+async fn keeps_the_driver_of_a_group_blocked_by_unreachable_ranks() {
+    // A map is prepared and no pass begins, but none is held: ranks are unreachable, and another
+    // driver could not resolve that.
+    assert!(!observe(&mut Watchdog::default(), &report(40, None)).await);
+    // A hold of a pass that is not the next one does not block the group yet.
+    assert!(!observe(&mut Watchdog::default(), &report(40, Some(43))).await);
 }
 
 #[tokio::test]
-async fn a_driver_that_left_its_group_held_is_deposed() {
-    assert!(looks(&mut Watchdog::default(), &report(40, Some(41))).await);
+async fn deposes_a_driver_that_left_its_group_held() {
+    assert!(observe(&mut Watchdog::default(), &report(40, Some(41))).await);
 }
--- a/sidecar/tests/suspension.rs
+++ b/sidecar/tests/suspension.rs
@@ -1,5 +1,6 @@
-//! A driver whose host was suspended asks whether its term still holds before
-//! it goes on.
+//! After its host was suspended, a driver must check that its term still holds before it continues.
+//! The timers of renewals do not count the time of a suspension, so that the term may have expired
+//! meanwhile.
 
 #![allow(clippy::unwrap_used, reason = "a test that fails may panic")]
 
@@ -12,9 +13,9 @@
 use loftcove_sidecar::election::{self, Renewals, Term};
 use loftcove_standins::calls::{Calls, Plan};
 
-/// One test, as the clock of the process is moved on.
+/// There is only one test in this file, because it advances the clock of the process.
 #[tokio::test]
-async fn a_term_is_renewed_right_after_a_suspension() {
+async fn renews_the_term_immediately_after_a_suspension() {
     let store = Arc::new(Calls::new(Plan { renewals: 2, ..Plan::default() }));
     let renewals: Arc<Renewals> = Arc::default();
     let kept = tokio::spawn({
@@ -29,11 +30,11 @@
     }
     assert!(!renewals.check().await);
     boot::simulate_suspension(Duration::from_secs(5));
-    let asked = tokio::time::timeout(Duration::from_millis(400), renewals.check()).await;
-    assert_eq!(asked, Ok(true), "half of the time until the next renewal");
+    let renewed = tokio::time::timeout(Duration::from_millis(400), renewals.check()).await;
+    assert_eq!(renewed, Ok(true), "half of the renewal interval");
     assert_eq!(store.seen().renewals, 2);
     assert!(!renewals.check().await);
-    // It has lapsed in the second one.
+    // The term expires during the second suspension.
     boot::simulate_suspension(Duration::from_secs(5));
     let waited = tokio::time::timeout(Duration::from_millis(400), renewals.check()).await;
     assert!(waited.is_err() || kept.is_finished());
