--- a/sidecar/src/drive.rs
+++ b/sidecar/src/drive.rs
@@ -62,7 +62,7 @@
 const ELECTION_STAGGER: Duration = Duration::from_millis(40);
 
 /// Dependencies of a driver.
-pub struct Parts<S, E> {
+pub struct Dependencies<S, E> {
     /// Rank of the engine beside the driver.
     pub rank: Arc<Rank<E>>,
     /// Local copy of the store.
@@ -117,14 +117,14 @@
 
 impl<P: Protocol, S: Store, E: Engine> Driver<P, S, E> {
     /// Creates a driver that is not elected.
-    pub fn new(parts: Parts<S, E>) -> Driver<P, S, E> {
-        let settings = parts.settings;
+    pub fn new(dependencies: Dependencies<S, E>) -> Driver<P, S, E> {
+        let settings = dependencies.settings;
         Driver {
-            rank: parts.rank,
-            mirror: parts.mirror,
-            store: parts.store,
-            metrics: parts.metrics,
-            group: parts.group,
+            rank: dependencies.rank,
+            mirror: dependencies.mirror,
+            store: dependencies.store,
+            metrics: dependencies.metrics,
+            group: dependencies.group,
             name: election::run_name(&settings.host.name),
             settings,
             catalog: catalog::Catalog::default(),
@@ -209,14 +209,14 @@
         let (mirror, store) = (self.mirror.clone(), self.store.clone());
         let name: Arc<str> = group.into();
         let renewals = Arc::new(election::Renewals::default());
-        let kept = tokio::spawn({
+        let renewal = tokio::spawn({
             let renewals = renewals.clone();
             async move {
                 election::renew(&*store, &mirror, &name, term, &renewals).await;
             }
         });
         let mut state = State::default();
-        while !kept.is_finished() && !*stop.borrow() {
+        while !renewal.is_finished() && !*stop.borrow() {
             let renewed = tokio::time::timeout(RENEWAL_TIMEOUT, renewals.check()).await;
             if renewed.is_ok_and(|suspended| suspended) {
                 continue;
@@ -231,7 +231,7 @@
             }
             tokio::time::sleep(INTERVAL.saturating_sub(begun.elapsed())).await;
         }
-        kept.abort();
+        renewal.abort();
     }
 
     /// Runs one round: reads the state of the group, decides about a change and carries it out.
--- a/sidecar/src/drive/change.rs
+++ b/sidecar/src/drive/change.rs
@@ -91,8 +91,8 @@
         let mut running: FuturesUnordered<_> =
             parts.map(|part| self.group.deliver(&self.rank, part, &broadcast)).collect();
         while let Some(delivered) = running.next().await {
-            for (engine, carried) in delivered {
-                apply(switch, (ranks[&engine], order), carried, epoch)?;
+            for (engine, answer) in delivered {
+                apply(switch, (ranks[&engine], order), answer, epoch)?;
             }
         }
         log::info!(
@@ -109,13 +109,13 @@
 fn apply(
     switch: &mut Switch,
     (rank, order): (usize, switch::Order),
-    carried: Answer,
+    answer: Answer,
     epoch: u64,
 ) -> Result<(), Stopped> {
-    if carried.condition.is_some_and(|condition| condition.epoch != epoch) {
+    if answer.condition.is_some_and(|condition| condition.epoch != epoch) {
         return Err(Stopped::Epoch);
     }
-    let effect = match carried.effect {
+    let effect = match answer.effect {
         wire::Effect::Confirmed => switch::Effect::Confirmed,
         wire::Effect::Refused => switch::Effect::Refused,
         wire::Effect::Superseded => return Err(Stopped::Superseded),
--- a/sidecar/src/election.rs
+++ b/sidecar/src/election.rs
@@ -143,12 +143,12 @@
             return;
         }
         let sent = boot::Mark::now();
-        let kept = store.keep(term.lease).await;
-        if kept == Ok(false) {
+        let renewed = store.keep(term.lease).await;
+        if renewed == Ok(false) {
             return;
         }
         renewals.last.send_replace(sent);
-        match kept {
+        match renewed {
             Ok(_) => {
                 pause = RENEWAL_INTERVAL;
                 if std::mem::take(&mut store_lost) {
--- a/sidecar/src/group.rs
+++ b/sidecar/src/group.rs
@@ -185,11 +185,11 @@
     ) -> Survey {
         let mut survey = Survey::default();
         let work = Work::Inspection(inspection.clone());
-        let mut take = |engine, finding: wire::Finding| {
+        let mut on_finding = |engine, finding: wire::Finding| {
             survey.conditions.extend(finding.condition.map(|condition| (engine, condition)));
         };
         let (left, counts) =
-            self.serve_by_relay(&part, &work, member::INSPECT_TIMEOUT, &mut take).await;
+            self.serve_by_relay(&part, &work, member::INSPECT_TIMEOUT, &mut on_finding).await;
         survey.counts = counts;
         // If experts are not requested, ranks that did not answer a relay are left to the next
         // survey.
@@ -214,18 +214,18 @@
         let limit = member::order_timeout(&broadcast.step.order);
         let mut all = Vec::new();
         let mut base_missing = Vec::new();
-        let mut take = |engine, finding: wire::Finding| match finding.effect() {
+        let mut on_finding = |engine, finding: wire::Finding| match finding.effect() {
             wire::Effect::BaseMissing => base_missing.push(engine),
             effect => all.push((engine, Answer::new(effect, finding.condition))),
         };
         let work = Work::Step(broadcast.message().clone());
-        let (mut left, _) = self.serve_by_relay(&part, &work, limit, &mut take).await;
+        let (mut left, _) = self.serve_by_relay(&part, &work, limit, &mut on_finding).await;
         if !base_missing.is_empty() {
-            let mut take = |engine, finding: wire::Finding| {
+            let mut on_finding = |engine, finding: wire::Finding| {
                 all.push((engine, Answer::new(finding.effect(), finding.condition)));
             };
             let work = Work::Step(broadcast.whole().clone());
-            left.extend(self.serve_by_relay(&base_missing, &work, limit, &mut take).await.0);
+            left.extend(self.serve_by_relay(&base_missing, &work, limit, &mut on_finding).await.0);
         }
         let carry = async |engine| (engine, self.carry(local, engine, broadcast).await);
         all.extend(future::join_all(left.into_iter().map(carry)).await);
@@ -238,7 +238,7 @@
         part: &[SocketAddr],
         work: &Work,
         limit: Duration,
-        take: &mut impl FnMut(SocketAddr, wire::Finding),
+        on_finding: &mut impl FnMut(SocketAddr, wire::Finding),
     ) -> (Vec<SocketAddr>, Vec<u32>) {
         let mut engines = part.to_vec();
         // A rank that recently did not answer is the last choice for a relay, and so is the
@@ -254,7 +254,7 @@
             let mut left: Vec<Option<SocketAddr>> = engines.into_iter().map(Some).collect();
             for finding in findings.findings {
                 if let Some(engine) = left.get_mut(finding.place as usize).and_then(Option::take) {
-                    take(engine, finding);
+                    on_finding(engine, finding);
                 }
             }
             silent.extend(left.into_iter().flatten());
--- a/sidecar/src/lib.rs
+++ b/sidecar/src/lib.rs
@@ -73,13 +73,13 @@
     let mut terminate = signal(SignalKind::terminate()).map_err(Error::Signal)?;
     let mut hangup = signal(SignalKind::hangup()).map_err(Error::Signal)?;
     let host = settings.host.clone();
-    let peers = listen(settings.peering.peer_address).await?;
+    let peer_listener = listen(settings.peering.peer_address).await?;
     let metrics_listener = listen(host.metrics_address).await?;
     let mirror: Arc<Mirror> = Arc::default();
     let own = follow::Own { name: host.name.clone(), zone: host.zone.clone(), address: None };
-    let known = Arc::new(follow::Peers::new(own, host.seeds.clone()));
+    let peers = Arc::new(follow::Peers::new(own, host.seeds.clone()));
     for follower in 0..FOLLOWERS {
-        tokio::spawn(follow::run(mirror.clone(), known.clone(), follower));
+        tokio::spawn(follow::run(mirror.clone(), peers.clone(), follower));
     }
     let metrics: Arc<metrics::Metrics> = Arc::default();
     tokio::spawn(metrics::serve(metrics.clone(), metrics_listener));
@@ -87,8 +87,8 @@
     let port = settings.peering.peer_address.port();
     let group = group::Group::new(settings.engine.address, port, Box::new(connect));
     let group = Arc::new(group);
-    tokio::spawn(serve(rank.clone(), group.clone(), peers));
-    let driver = drive::Driver::<P, S, E>::new(drive::Parts {
+    tokio::spawn(serve(rank.clone(), group.clone(), peer_listener));
+    let driver = drive::Driver::<P, S, E>::new(drive::Dependencies {
         rank,
         mirror,
         store: Arc::new(store),
@@ -102,7 +102,7 @@
     loop {
         tokio::select! {
             _ = terminate.recv() => break,
-            _ = hangup.recv() => reload(file, &known),
+            _ = hangup.recv() => reload(file, &peers),
         }
     }
     log::info!("stopping host={}", host.name);
@@ -114,11 +114,11 @@
     Ok(())
 }
 
-fn reload(file: &Path, known: &follow::Peers) {
+fn reload(file: &Path, peers: &follow::Peers) {
     match settings::Sidecar::read(file) {
         Ok(settings) => {
             log::info!("reloaded file={} seeds={}", file.display(), settings.host.seeds.len());
-            known.set_seeds(settings.host.seeds);
+            peers.set_seeds(settings.host.seeds);
         }
         Err(error) => log::error!("reload failed error=\"{error}\" next=keep"),
     }
--- a/sidecar/src/state.rs
+++ b/sidecar/src/state.rs
@@ -162,8 +162,8 @@
         let held = report.held == Some(report.pass + 1);
         let moved = report.pass != self.pass;
         if let Some(since) = self.since.filter(|_| moved) {
-            let kept = self.pass_time.mul_f64(PASS_TIME_DECAY);
-            self.pass_time = kept.max(since.elapsed()).min(STALL_TIME * STALL_PASSES);
+            let decayed = self.pass_time.mul_f64(PASS_TIME_DECAY);
+            self.pass_time = decayed.max(since.elapsed()).min(STALL_TIME * STALL_PASSES);
         }
         if moved || term != self.term || !held {
             self.pass = report.pass;
--- a/sidecar/tests/common/mod.rs
+++ b/sidecar/tests/common/mod.rs
@@ -219,7 +219,7 @@
         let parts = parts.map(|part| part.into_iter().map(|place| self.engines[place]).collect());
         let all = parts.map(|part| self.group.deliver(&self.driver, part, broadcast));
         let all = futures_util::future::join_all(all).await;
-        all.into_iter().flatten().map(|(engine, carried)| (engine, carried.effect)).collect()
+        all.into_iter().flatten().map(|(engine, answer)| (engine, answer.effect)).collect()
     }
 }
 
--- a/sidecar/tests/relays.rs
+++ b/sidecar/tests/relays.rs
@@ -21,7 +21,7 @@
 const RANKS: usize = 192;
 
 /// Returns a map with one more expert on one rank of each set.
-fn next(map: &Map, number: usize) -> Map {
+fn with_added_experts(map: &Map, number: usize) -> Map {
     let mut next = map.clone();
     let ranks = map[0].len();
     for (set, lists) in next.iter_mut().enumerate() {
@@ -36,7 +36,7 @@
     Broadcast::new(step(Order::Prepare { version, map: Arc::new(map.clone()) }), source)
 }
 
-fn opening(ranks: usize) -> Map {
+fn initial_map(ranks: usize) -> Map {
     difference::round_robin(SETS, 2 * ranks, ranks)
 }
 
@@ -62,8 +62,11 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn sends_consecutive_maps_as_differences() {
     let ranks = common::start(RANKS, &BTreeMap::new()).await;
-    let (first, second) = (next(&opening(RANKS), 1), next(&next(&opening(RANKS), 1), 2));
-    let broadcast = prepare(&opening(RANKS), &first, 10);
+    let (first, second) = (
+        with_added_experts(&initial_map(RANKS), 1),
+        with_added_experts(&with_added_experts(&initial_map(RANKS), 1), 2),
+    );
+    let broadcast = prepare(&initial_map(RANKS), &first, 10);
     assert_prepared(&ranks, &ranks.deliver(&broadcast).await, &first, 10);
     let broadcast = prepare(&first, &second, 11);
     assert_prepared(&ranks, &ranks.deliver(&broadcast).await, &second, 11);
@@ -85,7 +88,7 @@
         let zone = |engine: &std::net::SocketAddr| -> Arc<str> { zones[engine][..4].into() };
         let group = common::unreached(engines[0]);
         group.set_engines(engines.iter().map(|engine| (*engine, zone(engine))).collect());
-        let broadcast = prepare(&opening(size), &next(&opening(size), 1), 10);
+        let broadcast = prepare(&initial_map(size), &with_added_experts(&initial_map(size), 1), 10);
         let parts = group.parts(&engines);
         assert!(parts.len() <= 21, "{} parts of {size} ranks", parts.len());
         let message = |part: &Vec<usize>| {
@@ -108,7 +111,10 @@
 async fn sends_the_whole_map_to_ranks_without_the_base_map() {
     let ranks = common::start(RANKS, &BTreeMap::new()).await;
     // No rank has received the map that the second one is encoded against.
-    let (first, second) = (next(&opening(RANKS), 1), next(&next(&opening(RANKS), 1), 2));
+    let (first, second) = (
+        with_added_experts(&initial_map(RANKS), 1),
+        with_added_experts(&with_added_experts(&initial_map(RANKS), 1), 2),
+    );
     let broadcast = prepare(&first, &second, 10);
     assert_prepared(&ranks, &ranks.deliver(&broadcast).await, &second, 10);
 }
@@ -120,8 +126,8 @@
     let silent = (8..16).map(|rank| (rank, Fault::Silent));
     let faults: BTreeMap<usize, Fault> = gone.chain(silent).filter(|(rank, _)| *rank > 0).collect();
     let ranks = common::start(RANKS, &faults).await;
-    let map = next(&opening(RANKS), 1);
-    let broadcast = prepare(&opening(RANKS), &map, 10);
+    let map = with_added_experts(&initial_map(RANKS), 1);
+    let broadcast = prepare(&initial_map(RANKS), &map, 10);
     assert_prepared(&ranks, &ranks.deliver(&broadcast).await, &map, 10);
     for (rank, table) in ranks.tables.iter().enumerate() {
         let remote = table.state.lock().unwrap().remote_orders;
@@ -145,8 +151,8 @@
     while ranks.group.survey(&ranks.driver, &ranks.engines, &inspection).await.conditions.len()
         < RANKS
     {}
-    let map = next(&opening(RANKS), 1);
-    let effects = ranks.deliver(&prepare(&opening(RANKS), &map, 10)).await;
+    let map = with_added_experts(&initial_map(RANKS), 1);
+    let effects = ranks.deliver(&prepare(&initial_map(RANKS), &map, 10)).await;
     assert!(effects.values().all(|effect| *effect == wire::Effect::Superseded), "{effects:?}");
     assert!(ranks.tables.iter().all(|table| table.state.lock().unwrap().orders == 0));
 }
@@ -186,7 +192,7 @@
     use loftcove_sidecar::maps;
     use loftcove_sidecar::rank::Fault;
     let ranks = common::start(2, &BTreeMap::new()).await;
-    let broadcast = prepare(&opening(2), &next(&opening(2), 1), 10);
+    let broadcast = prepare(&initial_map(2), &with_added_experts(&initial_map(2), 1), 10);
     let carried = async |change: fn(&mut wire::Difference)| {
         let mut step = broadcast.message().clone();
         change(step.map.as_mut().unwrap());
--- a/sidecar/tests/suspension.rs
+++ b/sidecar/tests/suspension.rs
@@ -18,7 +18,7 @@
 async fn renews_the_term_immediately_after_a_suspension() {
     let store = Arc::new(Calls::new(Plan { renewals: 2, ..Plan::default() }));
     let renewals: Arc<Renewals> = Arc::default();
-    let kept = tokio::spawn({
+    let renewal = tokio::spawn({
         let (store, renewals) = (store.clone(), renewals.clone());
         async move {
             let term = Term { number: 1, lease: store::Lease { era: 0, id: 1 } };
@@ -37,6 +37,6 @@
     // The term expires during the second suspension.
     boot::simulate_suspension(Duration::from_secs(5));
     let waited = tokio::time::timeout(Duration::from_millis(400), renewals.check()).await;
-    assert!(waited.is_err() || kept.is_finished());
-    kept.await.unwrap();
+    assert!(waited.is_err() || renewal.is_finished());
+    renewal.await.unwrap();
 }
