--- a/sidecar/src/lib.rs
+++ b/sidecar/src/lib.rs
@@ -7,6 +7,10 @@
 //! its [`state`]) and switches all ranks to a new map ([`drive`]) through [`group`]. In a large
 //! group, sidecars relay messages to others ([`relay`]). A map is sent as its difference from one
 //! that the ranks hold ([`broadcast`], [`maps`]). Requests of clients don't pass through a sidecar.
+//!
+//! A *pass* is one step of the engines that all ranks of the group begin together. An *epoch* is
+//! the time from one formation of the group to the next. A *term* is the time for which a driver is
+//! elected. A group is *held* while a rank keeps it from beginning a certain pass.
 
 pub mod broadcast;
 pub mod codec;
--- a/sidecar/src/rank.rs
+++ b/sidecar/src/rank.rs
@@ -3,7 +3,8 @@
 //! An order is repeated until the engine's report shows its effect, or shows that it can no longer
 //! take effect. Each order states the number of orders that the engine has accepted before it, so
 //! that the engine rejects an order that arrives late, after another one. Orders of a driver that
-//! has been replaced are rejected here.
+//! has been replaced are rejected here: the *fence* of a rank is the highest term that it has
+//! received.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
