--- a/daemon/src/entry/assignment.rs
+++ b/daemon/src/entry/assignment.rs
@@ -77,15 +77,15 @@
     cause: &str,
 ) {
     let value: Bytes = serde_json::to_vec(table).unwrap_or_default().into();
-    let fate = store::swap_settled(&process.platform, name, expected, value.clone()).await;
-    let won = matches!(fate, Ok(store::Fate::Won(_)));
+    let fate = store::swap_confirmed(&process.platform, name, expected, value.clone()).await;
+    let won = matches!(fate, Ok(store::Outcome::Won(_)));
     process.history.record(TASK, format!("choice={cause} won={won}"));
     match fate {
-        Ok(store::Fate::Won(revision)) => take(process, store::Entry { revision, value }),
-        Ok(store::Fate::Overtaken(Some(entry)) | store::Fate::Conflict(Some(entry))) => {
+        Ok(store::Outcome::Won(revision)) => take(process, store::Entry { revision, value }),
+        Ok(store::Outcome::Overtaken(Some(entry)) | store::Outcome::Conflict(Some(entry))) => {
             take(process, entry);
         }
-        Ok(store::Fate::Overtaken(None) | store::Fate::Conflict(None)) | Err(_) => {}
+        Ok(store::Outcome::Overtaken(None) | store::Outcome::Conflict(None)) | Err(_) => {}
     }
 }
 
--- a/daemon/src/entry/drive.rs
+++ b/daemon/src/entry/drive.rs
@@ -322,13 +322,13 @@
     async fn write(&self, record: record::Record, revision: &mut store::Revision) -> change::Event {
         let value: Bytes = serde_json::to_vec(&record).unwrap_or_default().into();
         let platform = &self.entry.process.platform;
-        match store::swap_settled(platform, &self.key(), *revision, value).await {
-            Ok(store::Fate::Won(won)) => {
+        match store::swap_confirmed(platform, &self.key(), *revision, value).await {
+            Ok(store::Outcome::Won(won)) => {
                 *revision = won;
                 self.with_group(|group| group.record = Some((won, record)));
                 change::Event::Written(gate::Fence(won))
             }
-            Ok(store::Fate::Overtaken(_) | store::Fate::Conflict(_)) | Err(_) => {
+            Ok(store::Outcome::Overtaken(_) | store::Outcome::Conflict(_)) | Err(_) => {
                 change::Event::NotWritten
             }
         }
--- a/daemon/src/source.rs
+++ b/daemon/src/source.rs
@@ -44,7 +44,7 @@
         cursor: u64,
         wait: Duration,
     ) -> Result<(u64, Option<wire::Record>), error::Error> {
-        let name = key::force(&process.settings.process.deployment);
+        let name = key::in_force(&process.settings.process.deployment);
         let change = process.platform.watch(&name, cursor, wait).await?;
         let record = change.entry.and_then(|entry| bundle_record(entry.value));
         Ok((change.cursor, record))
--- a/gateway/src/answer.rs
+++ b/gateway/src/answer.rs
@@ -89,7 +89,7 @@
 ) -> Response {
     let mut response = http::Response::new(Body::whole(Bytes::new()));
     *response.status_mut() = status;
-    *response.headers_mut() = P::refuse(id, retry_after);
+    *response.headers_mut() = P::own_answer(id, retry_after);
     response
 }
 
--- a/gateway/src/flow.rs
+++ b/gateway/src/flow.rs
@@ -358,7 +358,7 @@
         self.take_limit(request, attempt, head.status, answer.rate);
         match answer.verdict {
             Verdict::Answered => {}
-            Verdict::Foreign => return may_have_run("answer of another request".to_owned()),
+            Verdict::Unusable => return may_have_run("answer of another request".to_owned()),
             Verdict::NotRun(NotRun::GroupDown) => {
                 return Sent::Failed(balancer::End::GroupDown, None, "group down".to_owned());
             }
--- a/gateway/src/probe.rs
+++ b/gateway/src/probe.rs
@@ -62,8 +62,8 @@
     gateway.metrics.health_checks.inc();
     let leaving = match upstream::check_health(target.address, path).await {
         Ok(head) => match P::health(&head, id) {
-            Health::Serves => false,
-            Health::Leaves => true,
+            Health::Serving => false,
+            Health::Leaving => true,
             Health::Unknown => {
                 log::info!("health check settled nothing server={id} status={}", head.status);
                 return;
--- a/gateway/src/request.rs
+++ b/gateway/src/request.rs
@@ -100,7 +100,7 @@
 ) -> Result<Request, Refusal> {
     let came = boot::Instant::now();
     let grant = routes.find(&meta.host, head.uri.path(), meta.key.as_deref())?;
-    let patience = meta.patience.unwrap_or(LONGEST).min(grant.route.timeout);
+    let patience = meta.timeout.unwrap_or(LONGEST).min(grant.route.timeout);
     let due = came + patience.saturating_sub(MARGIN);
     let body = tokio::time::timeout_at(due.timer(), collect(body, routes.limits.body_bytes));
     let body = body.await.map_err(|_| Refusal::Truncated)??;
--- a/interface/src/engine.rs
+++ b/interface/src/engine.rs
@@ -121,7 +121,7 @@
 pub enum Error {
     /// No answer came: an order may have been taken, or may be carried out later.
     #[error("engine did not answer: {0}")]
-    Silent(String),
+    NoAnswer(String),
     /// The answer was not what the protocol says.
     #[error("engine answered {status}: {reason}")]
     Protocol {
--- a/interface/src/protocol.rs
+++ b/interface/src/protocol.rs
@@ -16,7 +16,7 @@
     /// Key that tells the team.
     pub key: Option<Arc<str>>,
     /// How long the client will wait, from now.
-    pub patience: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// Tokens of the prompt and the most tokens of the answer.
     pub tokens: Option<(u32, u32)>,
     /// The client's guess of the answer's tokens.
@@ -47,7 +47,7 @@
     /// The request did not run and will not run there.
     NotRun(NotRun),
     /// It is no usable answer of this request: of another one, or encoded.
-    Foreign,
+    Unusable,
 }
 
 /// Why a backend server did not run a request.
@@ -86,9 +86,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Health {
     /// It serves, and does not leave.
-    Serves,
+    Serving,
     /// It leaves.
-    Leaves,
+    Leaving,
     /// Neither is known: it fails or is full, or another one answered.
     Unknown,
 }
@@ -122,7 +122,7 @@
 
 /// What a key of the store stands for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Place<'a> {
+pub enum Key<'a> {
     /// The operators' configuration.
     Config,
     /// The entry of the backend server with this id.
@@ -150,7 +150,7 @@
     const READY_PATH: &'static str;
 
     /// What a key of the store stands for.
-    fn place(key: &str) -> Place<'_>;
+    fn parse_key(key: &str) -> Key<'_>;
 
     /// Reads a record of the store.
     ///
@@ -180,5 +180,5 @@
     fn relay(head: &http::response::Parts) -> http::HeaderMap;
 
     /// Headers of an answer of loftcove's own, with when to come back.
-    fn refuse(id: Option<&str>, retry_after: Option<Duration>) -> http::HeaderMap;
+    fn own_answer(id: Option<&str>, retry_after: Option<Duration>) -> http::HeaderMap;
 }
--- a/interface/src/store.rs
+++ b/interface/src/store.rs
@@ -161,8 +161,8 @@
     fn grant(&self, ttl: Duration) -> impl Future<Output = Result<Lease, Error>> + Send;
 
     /// Renews a lease; `false` where it has run out.
-    fn keep(&self, lease: Lease) -> impl Future<Output = Result<bool, Error>> + Send;
+    fn renew(&self, lease: Lease) -> impl Future<Output = Result<bool, Error>> + Send;
 
     /// Ends a lease and removes its keys.
-    fn end(&self, lease: Lease) -> impl Future<Output = Result<(), Error>> + Send;
+    fn revoke(&self, lease: Lease) -> impl Future<Output = Result<(), Error>> + Send;
 }
--- a/mirror/src/catalog.rs
+++ b/mirror/src/catalog.rs
@@ -12,7 +12,7 @@
 use loftcove_clock as boot;
 use loftcove_decision::revision::Revision;
 use loftcove_decision::{fleet, mirror, route};
-use loftcove_interface::protocol::{Place, Protocol, Record};
+use loftcove_interface::protocol::{Key, Protocol, Record};
 
 use crate::{Mirror, lines};
 
@@ -76,16 +76,16 @@
         let mut listed = BTreeSet::new();
         let mut drained = BTreeSet::new();
         for record in P::PREFIXES.iter().flat_map(|prefix| mirror.below(prefix)) {
-            match P::place(&record.key) {
-                Place::Config => self.read_config(&record),
-                Place::Server(_) => {
+            match P::parse_key(&record.key) {
+                Key::Config => self.read_config(&record),
+                Key::Server(_) => {
                     self.read_server(&record);
                     listed.insert(record.key);
                 }
-                Place::DrainedZone(zone) => {
+                Key::DrainedZone(zone) => {
                     drained.insert(Arc::from(zone));
                 }
-                Place::Other => {}
+                Key::Other => {}
             }
         }
         self.drain(drained);
--- a/mirror/src/ends.rs
+++ b/mirror/src/ends.rs
@@ -474,7 +474,7 @@
             return Ok(outcome);
         }
         // Another gateway was first: its lease holds.
-        store.end(lease).await?;
+        store.revoke(lease).await?;
         Ok(outcome)
     }
 }
--- a/mirror/src/register.rs
+++ b/mirror/src/register.rs
@@ -149,7 +149,7 @@
         let mut rest = Duration::ZERO;
         let result = match lease {
             None => begin(&*store, &name, &entry).await.map(Some),
-            Some(lease) => match store.keep(lease).await {
+            Some(lease) => match store.renew(lease).await {
                 Ok(true) => Ok(Some(lease)),
                 Ok(false) => Ok(None),
                 Err(error) => Err(error),
--- a/mirror/tests/catalog.rs
+++ b/mirror/tests/catalog.rs
@@ -150,8 +150,8 @@
     const SERVERS_PREFIX: &'static str = Adapter::SERVERS_PREFIX;
     const READY_PATH: &'static str = Adapter::READY_PATH;
 
-    fn place(key: &str) -> protocol::Place<'_> {
-        Adapter::place(key)
+    fn parse_key(key: &str) -> protocol::Key<'_> {
+        Adapter::parse_key(key)
     }
 
     fn record(key: &str, value: &[u8]) -> Result<protocol::Record, protocol::Error> {
@@ -179,8 +179,8 @@
         Adapter::relay(head)
     }
 
-    fn refuse(id: Option<&str>, retry_after: Option<Duration>) -> http::HeaderMap {
-        Adapter::refuse(id, retry_after)
+    fn own_answer(id: Option<&str>, retry_after: Option<Duration>) -> http::HeaderMap {
+        Adapter::own_answer(id, retry_after)
     }
 }
 
--- a/mirror/tests/rest.rs
+++ b/mirror/tests/rest.rs
@@ -48,11 +48,11 @@
         self.refuse()
     }
 
-    async fn keep(&self, _: Lease) -> Result<bool, Error> {
+    async fn renew(&self, _: Lease) -> Result<bool, Error> {
         self.refuse()
     }
 
-    async fn end(&self, _: Lease) -> Result<(), Error> {
+    async fn revoke(&self, _: Lease) -> Result<(), Error> {
         self.refuse()
     }
 }
--- a/mirror/tests/watch.rs
+++ b/mirror/tests/watch.rs
@@ -70,14 +70,14 @@
         Ok(Lease { era: 0, id: 1 })
     }
 
-    async fn keep(&self, _lease: Lease) -> Result<bool, Error> {
+    async fn renew(&self, _lease: Lease) -> Result<bool, Error> {
         if self.away.load(Ordering::Relaxed) {
             return Err(Error::Lost("nothing".to_owned()));
         }
         Ok(true)
     }
 
-    async fn end(&self, _lease: Lease) -> Result<(), Error> {
+    async fn revoke(&self, _lease: Lease) -> Result<(), Error> {
         Ok(())
     }
 }
--- a/sidecar/src/drive.rs
+++ b/sidecar/src/drive.rs
@@ -148,7 +148,7 @@
             self.drive(&group, term, &stop).await;
             self.metrics.driving.set(0);
             log::info!("driver resigned group={group} term={}", term.number);
-            if let Err(error) = self.store.end(term.lease).await {
+            if let Err(error) = self.store.revoke(term.lease).await {
                 log::warn!("lease not ended error=\"{error}\" next=lapse");
             }
         }
--- a/sidecar/src/election.rs
+++ b/sidecar/src/election.rs
@@ -92,7 +92,7 @@
         }
         Err(error) => return Err(error),
     }
-    store.end(lease).await?;
+    store.revoke(lease).await?;
     Ok(None)
 }
 
@@ -144,7 +144,7 @@
             return;
         }
         let sent = boot::Mark::now();
-        let kept = store.keep(term.lease).await;
+        let kept = store.renew(term.lease).await;
         if kept == Ok(false) {
             return;
         }
--- a/sidecar/src/rank.rs
+++ b/sidecar/src/rank.rs
@@ -206,7 +206,7 @@
                             tokio::time::sleep(RETRY_PAUSE).await;
                         }
                         // Not known: the next report tells.
-                        Err(Error::Silent(_) | Error::Protocol { .. }) => {}
+                        Err(Error::NoAnswer(_) | Error::Protocol { .. }) => {}
                     }
                 }
             }
--- a/standins/src/calls.rs
+++ b/standins/src/calls.rs
@@ -85,13 +85,13 @@
         }
     }
 
-    async fn keep(&self, _: store::Lease) -> Result<bool, Error> {
+    async fn renew(&self, _: store::Lease) -> Result<bool, Error> {
         let mut seen = self.lock();
         seen.renewals += 1;
         Ok(seen.renewals <= self.plan.renewals)
     }
 
-    async fn end(&self, _: store::Lease) -> Result<(), Error> {
+    async fn revoke(&self, _: store::Lease) -> Result<(), Error> {
         self.lock().ended += 1;
         Ok(())
     }
--- a/tool/src/bundle.rs
+++ b/tool/src/bundle.rs
@@ -68,9 +68,9 @@
     name: &str,
     expected: store::Revision,
     value: Vec<u8>,
-) -> Result<store::Fate, error::Error> {
+) -> Result<store::Outcome, error::Error> {
     let value: Bytes = value.into();
-    store::swap_settled(&context.platform, name, expected, value)
+    store::swap_confirmed(&context.platform, name, expected, value)
         .await
         .map_err(error::Error::Unsettled)
 }
@@ -129,18 +129,18 @@
     proposal.approver = Some(signer.sign(sign::Step::Approval, digest));
     let name = key::proposal(&context.settings.deployment, &digest.to_string());
     match write(context, &name, revision, serde_json::to_vec(&proposal)?).await? {
-        store::Fate::Won(_) | store::Fate::Overtaken(_) => {
+        store::Outcome::Won(_) | store::Outcome::Overtaken(_) => {
             println!("approved {digest}");
             Ok(())
         }
-        store::Fate::Conflict(_) => Err(error::Error::ProposalConflict),
+        store::Outcome::Conflict(_) => Err(error::Error::ProposalConflict),
     }
 }
 
 async fn in_force(
     context: &Context,
 ) -> Result<Option<(store::Revision, envelope::Envelope)>, error::Error> {
-    load(context, &key::force(&context.settings.deployment)).await
+    load(context, &key::in_force(&context.settings.deployment)).await
 }
 
 async fn roll_forward(context: &Context, digest: &str) -> Result<(), error::Error> {
@@ -154,7 +154,7 @@
     let present = in_force(context).await?.ok_or(error::Error::NothingInForce)?;
     let generation = present.1.roll.generation;
     let before = generation.saturating_sub(1);
-    let name = key::past(&context.settings.deployment, before);
+    let name = key::history_entry(&context.settings.deployment, before);
     let past: Option<(store::Revision, envelope::Envelope)> = load(context, &name).await?;
     let (_, past) = past.ok_or(error::Error::NoPast(generation))?;
     put_in_force(context, Some(present), past.text, past.proposer, past.approver).await
@@ -179,10 +179,10 @@
         // Before it is replaced, the present one must be where `withdraw` looks.
         archive(context, past).await?;
     }
-    let name = key::force(&context.settings.deployment);
+    let name = key::in_force(&context.settings.deployment);
     let won = match write(context, &name, revision, serde_json::to_vec(&envelope)?).await? {
-        store::Fate::Won(_) | store::Fate::Overtaken(_) => true,
-        store::Fate::Conflict(_) => was_in_force(context, &envelope).await?,
+        store::Outcome::Won(_) | store::Outcome::Overtaken(_) => true,
+        store::Outcome::Conflict(_) => was_in_force(context, &envelope).await?,
     };
     if !won {
         return Err(conflict(context).await?);
@@ -197,13 +197,13 @@
     context: &Context,
     envelope: &envelope::Envelope,
 ) -> Result<bool, error::Error> {
-    let name = key::past(&context.settings.deployment, envelope.roll.generation);
+    let name = key::history_entry(&context.settings.deployment, envelope.roll.generation);
     let past: Option<(store::Revision, envelope::Envelope)> = load(context, &name).await?;
     Ok(past.is_some_and(|(_, past)| past == *envelope))
 }
 
 async fn archive(context: &Context, past: &envelope::Envelope) -> Result<(), error::Error> {
-    let name = key::past(&context.settings.deployment, past.roll.generation);
+    let name = key::history_entry(&context.settings.deployment, past.roll.generation);
     // One that is there already is the same: a generation is won once.
     write(context, &name, 0, serde_json::to_vec(past)?).await.map(drop)
 }
