--- a/interface/src/engine.rs
+++ b/interface/src/engine.rs
@@ -1,150 +1,154 @@
-//! A model engine, one rank of a group that runs in lock-step.
+//! The interface to a model engine, which is one rank of a group that runs in lock-step.
+//!
+//! The ranks of a group execute the same *pass* together; passes are numbered. The group's *map*
+//! assigns experts to ranks. A sidecar replaces the map by *orders*: the engines prepare the new
+//! map, the group is held before a pass, the switch is armed for that pass, and the group is
+//! released. The *epoch* counts the formations of the group.
 
 use std::future::Future;
 use std::sync::Arc;
 
-/// Experts by layer set and rank: `map[set][rank]` lists the experts that the
-/// rank holds.
+/// Experts by layer set and rank: `map[set][rank]` lists the experts that the rank holds.
 pub type Map = Vec<Vec<Vec<u16>>>;
 
-/// State of an engine.
+/// The state of an engine.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Report {
-    /// How many times as long as usual it takes for its work; 1 is usual.
+    /// Factor by which the engine is slower than usual; 1 is the usual speed.
     pub slowness: f64,
-    /// Its group, if it belongs to one.
+    /// The engine's group, if it belongs to one.
     pub group: Option<Group>,
-    /// Orders that it has taken since its start.
+    /// Number of orders accepted since the engine's start.
     pub orders: u64,
-    /// Whether an order is under way.
+    /// Whether an order is in progress.
     pub busy: bool,
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub queued: u32,
-    /// Requests that run.
+    /// Number of running requests.
     pub active: u32,
-    /// Last pass that has begun.
+    /// The last pass that has begun.
     pub pass: u64,
-    /// Version of the map in use; zero for the one that a group opens with.
+    /// Version of the map in use; zero for the initial map of a group.
     pub map: u64,
     /// Version of the map that is prepared and copied, if there is one.
     pub prepared: Option<u64>,
-    /// Version and pass of the switch that is armed.
+    /// Version and pass of the armed switch.
     pub armed: Option<(u64, u64)>,
-    /// Pass that the group does not begin until it is let go on.
+    /// The pass that the group does not begin until it is released.
     pub held: Option<u64>,
 }
 
-/// An engine's place in its group.
+/// The position of an engine in its group.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Group {
     /// Name of the group.
     pub name: Arc<str>,
-    /// Rises each time that the group forms anew.
+    /// Number that rises each time that the group forms again.
     pub epoch: u64,
     /// The engine's rank.
     pub rank: u32,
-    /// Ranks of the group.
+    /// Number of ranks in the group.
     pub size: u32,
     /// Whether the group runs.
     pub open: bool,
 }
 
-/// How often the requests of a rank chose each expert since its start.
+/// Number of times that the requests of a rank have chosen each expert since the engine's start.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Counts {
-    /// Last pass that they cover.
+    /// The last pass that the counts include.
     pub pass: u64,
     /// Epoch of the group.
     pub epoch: u64,
-    /// When the engine started, Unix milliseconds, where it tells.
+    /// Start of the engine in Unix milliseconds, if the engine reports it.
     pub born: Option<u64>,
-    /// Set by set, a count for each expert.
+    /// One count per expert, layer set by layer set.
     pub counts: Vec<u64>,
 }
 
-/// The experts that a rank holds, set by set.
+/// The experts that a rank holds under one map.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Held {
     /// Version of the map.
     pub version: u64,
-    /// The rank's experts, set by set.
+    /// The rank's experts, by layer set.
     pub experts: Vec<Vec<u16>>,
 }
 
-/// An order about the group's map.
+/// An order that changes the group's map.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Order {
-    /// Copy the experts that the map has new on this rank.
+    /// Copies the experts that the map adds to this rank.
     Prepare {
-        /// Version of the map; higher than all that the rank had.
+        /// Version of the map, higher than all earlier versions on the rank.
         version: u64,
         /// The map.
         map: Arc<Map>,
     },
-    /// Switch to the prepared map as a pass begins.
+    /// Schedules the switch to the prepared map for the start of a pass.
     Arm {
         /// Version of the map.
         version: u64,
         /// The pass.
         pass: u64,
     },
-    /// Take back an armed switch.
+    /// Cancels an armed switch.
     Disarm {
         /// Version of the map.
         version: u64,
     },
-    /// Keep the whole group from beginning a pass.
+    /// Prevents the whole group from beginning a pass.
     Hold {
         /// The pass.
         pass: u64,
     },
-    /// Let the group begin the pass that was held.
+    /// Lets the group begin the pass that was held.
     Release {
         /// The pass.
         pass: u64,
     },
 }
 
-/// What an engine said to an order.
+/// The reply of an engine to an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// It begins, or holds already.
+    /// The engine has started the order, or the order is already in effect.
     Accepted,
-    /// It does not fit the engine's state, epoch or count of orders.
+    /// The order does not match the engine's state, epoch or count of orders.
     Conflict,
-    /// The engine refused it otherwise, with this status.
+    /// The engine rejected the order for another reason, with this HTTP status.
     Refused(u16),
 }
 
-/// Why a call to an engine gave no result.
+/// The reason why a call to an engine returned no result.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// No answer came: an order may have been taken, or may be carried out later.
+    /// No answer arrived. An order may have been accepted, or may still be carried out later.
     #[error("engine did not answer: {0}")]
     NoAnswer(String),
-    /// The answer was not what the protocol says.
-    #[error("engine answered {status}: {reason}")]
+    /// The answer violates the protocol.
+    #[error("unexpected answer from the engine with status {status}: {reason}")]
     Protocol {
         /// HTTP status.
         status: u16,
-        /// What was wrong.
+        /// The violation.
         reason: String,
     },
 }
 
-/// The engine beside a sidecar.
+/// The engine that a sidecar accompanies.
 pub trait Engine: Send + Sync + 'static {
-    /// Its state.
+    /// Returns the engine's state.
     fn report(&self) -> impl Future<Output = Result<Report, Error>> + Send;
 
-    /// Its counts.
+    /// Returns how often each expert was chosen.
     fn counts(&self) -> impl Future<Output = Result<Counts, Error>> + Send;
 
-    /// The experts of the map in use, and of the prepared one.
+    /// Returns the rank's experts under the map in use and under the prepared map.
     fn lists(&self) -> impl Future<Output = Result<(Held, Option<Held>), Error>> + Send;
 
-    /// Gives it an order, valid in one epoch and, if given, only as the next
-    /// one after so many.
+    /// Sends an order, which is valid in `epoch` only. With `after`, it is also valid only while
+    /// that is the number of orders that the engine has accepted.
     fn order(
         &self,
         order: &Order,
--- a/interface/src/protocol.rs
+++ b/interface/src/protocol.rs
@@ -1,4 +1,7 @@
-//! Requests, answers and records of the platform, as loftcove sees them.
+//! The platform's requests, responses and store records, in loftcove's terms.
+//!
+//! A *run* of a backend server is one start of it to its end. The platform calls the id of a run
+//! an instance.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -6,179 +9,177 @@
 use loftcove_decision::routing::{notice, rate, server};
 use loftcove_decision::{fleet, route};
 
-/// What loftcove reads from a client's request.
+/// The head of a client's request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Request {
-    /// Id of this try of the client's; the answer must bear it too.
+    /// Id of this attempt of the client; the response must repeat it.
     pub id: Arc<str>,
-    /// Host that the request is for, without a port.
+    /// Host name that the request is for, without a port.
     pub host: Arc<str>,
-    /// Key that tells the team.
+    /// API key that identifies the team.
     pub key: Option<Arc<str>>,
-    /// How long the client will wait, from now.
+    /// Time that the client waits for the response, from now.
     pub timeout: Option<Duration>,
-    /// Tokens of the prompt and the most tokens of the answer.
+    /// Number of tokens in the prompt, and maximum number of tokens in the response.
     pub tokens: Option<(u32, u32)>,
-    /// The client's guess of the answer's tokens.
+    /// The client's estimate of the number of tokens in the response.
     pub length_hint: Option<u32>,
 }
 
-/// What loftcove adds to a request on its way to a backend server.
+/// The data that loftcove adds to a request that it forwards to a backend server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Forward {
-    /// Run of the backend server that the request is meant for; another one
-    /// refuses it.
+    /// Run of the backend server that the request is for; another run rejects it.
     pub instance: Arc<str>,
-    /// Team that the request is from.
+    /// Team that sent the request.
     pub team: Option<Arc<str>>,
-    /// Time that is left.
+    /// Time that is left for the response.
     pub left: Option<Duration>,
-    /// Urgency among the requests that wait at the backend server, 0 first.
+    /// Priority among the requests that wait at the backend server; 0 is the most urgent.
     pub priority: Option<u8>,
-    /// Event after which a stream is to go on.
+    /// Id of the event after which a stream resumes.
     pub resume_after: Option<Arc<str>>,
 }
 
-/// What a backend server's answer says about its request.
+/// The classification of a backend server's response to a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// It is the answer of the request.
+    /// The response is the result of the request.
     Answered,
-    /// The request did not run and will not run there.
+    /// The request did not run on the backend server and will not run there.
     NotRun(NotRun),
-    /// It is no usable answer of this request: of another one, or encoded.
+    /// The response cannot be used: it belongs to another request, or its content is encoded.
     Unusable,
 }
 
-/// Why a backend server did not run a request.
+/// The reason why a backend server did not run a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NotRun {
-    /// It has no room, or cannot serve at present.
+    /// The backend server has no free slot, or cannot serve at present.
     Unavailable,
-    /// The group that it is a rank of is broken: no rank can serve.
+    /// The backend server is a rank of a broken group, of which no rank can serve.
     GroupDown,
-    /// It is another run than the one that was meant.
+    /// The response is from another run than the one that the request was sent to.
     OtherInstance,
-    /// It is asked too often.
+    /// The request exceeds the backend server's rate limit.
     Throttled,
-    /// It did not accept the request's form.
+    /// The backend server rejected the request as malformed.
     Rejected,
 }
 
-/// What loftcove reads from the head of an answer.
+/// The head of a backend server's response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Answer {
-    /// What it says about the request.
+    /// Classification of the response.
     pub verdict: Verdict,
-    /// Load of the backend server.
+    /// Load of the backend server, if the response reports it.
     pub load: Option<server::Load>,
-    /// How long the backend server keeps the connection when it is idle.
+    /// Time for which the backend server keeps an idle connection open.
     pub keep_alive: Option<Duration>,
-    /// Whether the backend server closes the connection after this answer.
+    /// Whether the backend server closes the connection after this response.
     pub close: bool,
-    /// What the run that was meant says of its own near future.
+    /// Announcements of the run that the request was sent to: that it rests or leaves.
     pub notice: notice::Notice,
-    /// What it says of its rate limit.
+    /// Report on the backend server's rate limit.
     pub rate: rate::Notice,
 }
 
-/// What a backend server's answer to a health check says.
+/// The result of a health check of a backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Health {
-    /// It serves, and does not leave.
+    /// The backend server serves and is not leaving.
     Serving,
-    /// It leaves.
+    /// The backend server is leaving.
     Leaving,
-    /// Neither is known: it fails or is full, or another one answered.
+    /// Neither is known: the backend server fails or is full, or another run responded.
     Unknown,
 }
 
-/// Why a record or a request could not be read.
+/// The reason why a record or a request cannot be parsed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// A record of the store is not well formed.
-    #[error("record {key}: {reason}")]
+    /// A record of the store is malformed.
+    #[error("malformed record {key}: {reason}")]
     Record {
-        /// Its key.
+        /// Key of the record.
         key: String,
-        /// What is wrong.
+        /// The fault in the record.
         reason: String,
     },
-    /// A header of a request is missing or not well formed.
+    /// A header of a request is missing or malformed.
     #[error("header {0} is missing or not well formed")]
     Header(&'static str),
 }
 
-/// What a key of the store holds.
+/// The value of a key of the store.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Record {
     /// The operators' configuration.
     Config(Box<route::Config>),
-    /// A backend server's entry.
+    /// The entry of a backend server.
     Server(fleet::Server),
-    /// Something that is of no concern here.
+    /// A value that loftcove does not use.
     Other,
 }
 
-/// What a key of the store stands for.
+/// The meaning of a key of the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Key<'a> {
     /// The operators' configuration.
     Config,
     /// The entry of the backend server with this id.
     Server(&'a str),
-    /// That this availability zone is drained: its backend servers get nothing
-    /// while the key is there, whatever its value.
+    /// The mark that drains this availability zone. While the key exists, with any value, the
+    /// zone's backend servers get no requests.
     DrainedZone(&'a str),
-    /// Something else.
+    /// Any other key.
     Other,
 }
 
-/// Translates between the platform's messages and loftcove's types. All
-/// functions are pure.
+/// The translation between the platform's messages and loftcove's types. All functions are pure.
 pub trait Protocol: Send + Sync + 'static {
-    /// Prefix of the store that holds the configuration.
+    /// Prefix of the keys that hold the configuration.
     const CONFIG_PREFIX: &'static str;
 
-    /// Prefix of the store that holds the backend servers.
+    /// Prefix of the keys that hold the entries of backend servers.
     const SERVERS_PREFIX: &'static str;
 
-    /// Both of them.
+    /// Both prefixes.
     const PREFIXES: [&'static str; 2] = [Self::CONFIG_PREFIX, Self::SERVERS_PREFIX];
 
-    /// Path at which the platform asks whether a gateway is ready.
+    /// Path of the request by which the platform checks whether a gateway is ready.
     const READY_PATH: &'static str;
 
-    /// What a key of the store stands for.
+    /// Returns the meaning of a key of the store.
     fn parse_key(key: &str) -> Key<'_>;
 
-    /// Reads a record of the store.
+    /// Parses a record of the store.
     ///
     /// # Errors
     ///
-    /// [`Error::Record`].
+    /// Returns [`Error::Record`] if the record is malformed.
     fn record(key: &str, value: &[u8]) -> Result<Record, Error>;
 
-    /// Reads the head of a client's request.
+    /// Parses the head of a client's request.
     ///
     /// # Errors
     ///
-    /// [`Error::Header`].
+    /// Returns [`Error::Header`] if a required header is missing or malformed.
     fn request(head: &http::request::Parts) -> Result<Request, Error>;
 
-    /// Headers of the request towards a backend server.
+    /// Returns the headers of a request to a backend server.
     fn forward(head: &http::request::Parts, forward: &Forward) -> http::HeaderMap;
 
-    /// Reads the head of an answer to the request with that id.
+    /// Parses the head of a response to the request `id`.
     fn answer(head: &http::response::Parts, id: &str) -> Answer;
 
-    /// Reads the head of an answer to a health check of the backend server with
-    /// that id.
+    /// Parses the head of a response to a health check of the run `instance`.
     fn health(head: &http::response::Parts, instance: &str) -> Health;
 
-    /// Headers of an answer of a backend server towards the client.
+    /// Returns the headers of a backend server's response that is relayed to the client.
     fn relay(head: &http::response::Parts) -> http::HeaderMap;
 
-    /// Headers of an answer of loftcove's own, with when to come back.
+    /// Returns the headers of a response that loftcove itself makes. `retry_after` is the time
+    /// after which the client may retry.
     fn own_answer(id: Option<&str>, retry_after: Option<Duration>) -> http::HeaderMap;
 }
--- a/interface/src/store.rs
+++ b/interface/src/store.rs
@@ -1,5 +1,9 @@
-//! The platform's key-value store: revisions, leases, watches and
-//! transactions.
+//! The interface to the platform's key-value store: revisions, leases, watches and conditional
+//! writes.
+//!
+//! The *era* of the store is the number of times that it has lost a part of its history. Numbers
+//! of revisions and leases may be assigned again in a later era. The *rest* is the time for which
+//! the store wants no further call from a host.
 
 use std::future::Future;
 use std::sync::Arc;
@@ -9,12 +13,12 @@
 
 pub use loftcove_decision::revision::Revision;
 
-/// A lease. The store may give its id out again in its next era, in which it is over.
+/// A lease. It ends with its era; in the next era the store may assign its id to another lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Lease {
-    /// Era in which it was given.
+    /// Era in which the store granted the lease.
     pub era: u32,
-    /// Its id.
+    /// Id of the lease.
     pub id: u64,
 }
 
@@ -29,17 +33,17 @@
     pub revision: Revision,
 }
 
-/// All items below a prefix.
+/// All items whose keys have a prefix.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Listing {
-    /// The items, in the order of their keys.
+    /// The items, sorted by key.
     pub items: Vec<Item>,
-    /// Revision that the first page was read at: the listing misses nothing
-    /// up to it, and a watch goes on from it.
+    /// Revision at which the first page was read. The listing contains all changes up to it, and
+    /// a watch continues from it.
     pub revision: Revision,
 }
 
-/// One change below a watched prefix.
+/// One change of a key with a watched prefix.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
     /// The key was written.
@@ -53,84 +57,84 @@
     },
 }
 
-/// How long one call of a watch may take.
+/// The time limits of one call of a watch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Wait {
-    /// Longest time until a change; then the store answers that there was none.
+    /// Longest wait for a change, after which the store answers without one.
     pub change: Duration,
-    /// Time beyond that after which the call counts as lost.
+    /// Additional time for the answer, after which the call counts as lost.
     pub answer: Duration,
 }
 
-/// What a watch saw.
+/// The changes that a watch received.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Changes {
-    /// The changes, oldest first; empty where the wait ran out.
+    /// The changes, oldest first; empty if the wait ended without one.
     pub events: Vec<Event>,
-    /// Where the next watch goes on.
+    /// Revision from which the next watch continues.
     pub revision: Revision,
 }
 
-/// A write of one key under a condition.
+/// A conditional write of one key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Write {
     /// The key.
     pub key: Arc<str>,
     /// The value, or `None` to remove the key.
     pub value: Option<Bytes>,
-    /// Revision that the key must have, zero where it must not exist; `None`
-    /// writes in any case.
+    /// Revision that the key must have, or zero if the key must not exist. `None` makes the write
+    /// unconditional.
     pub expected: Option<Revision>,
-    /// Lease that the key goes with.
+    /// Lease that the key is attached to.
     pub lease: Option<Lease>,
 }
 
-/// What a write came to.
+/// The result of a write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// It was done, at this revision.
+    /// The write was done at this revision.
     Done(Revision),
     /// The key's revision was not the expected one.
     Conflict,
-    /// The lease has run out.
+    /// The lease has expired.
     LeaseGone,
 }
 
-/// Why a call gave no result.
+/// The reason why a call returned no result.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// No connection: nothing was done.
-    #[error("store not reached: {0}")]
+    /// No connection could be established: nothing was done.
+    #[error("store unreachable: {0}")]
     Unreachable(String),
-    /// The call was sent and no answer came: a write may have been done, or
-    /// may still be done later.
-    #[error("store's answer lost: {0}")]
+    /// The call was sent and no answer arrived: a write may have been done, or may still be done
+    /// later.
+    #[error("no answer from the store: {0}")]
     Lost(String),
-    /// The store refused the call, for its rate or because it is not
-    /// available: nothing was done.
-    #[error("store refused the call with status {status}, rest_ms={}", .rest.as_millis())]
+    /// The store rejected the call for its rate limit or because it is unavailable: nothing was
+    /// done.
+    #[error("store rejected the call with status {status}, rest_ms={}", .rest.as_millis())]
     Refused {
         /// HTTP status.
         status: u16,
-        /// Time for which it wants no further call of this host; zero where it
-        /// does not say.
+        /// Time for which the store wants no further call from this host; zero if not given.
         rest: Duration,
     },
-    /// The watch's starting point is no longer in the store's history.
-    #[error("history before the watch's revision is gone")]
+    /// The store's history no longer contains the revision that a watch or listing continues
+    /// from.
+    #[error("the store's history no longer contains the revision")]
     HistoryGone,
-    /// The answer was not what the protocol says.
-    #[error("store answered {status}: {reason}")]
+    /// The answer violates the protocol.
+    #[error("unexpected answer from the store with status {status}: {reason}")]
     Protocol {
         /// HTTP status.
         status: u16,
-        /// What was wrong.
+        /// The violation.
         reason: String,
     },
 }
 
 impl Error {
-    /// Time for which the store wants no further call of this host.
+    /// Returns the time for which the store wants no further call from this host.
     pub fn rest(&self) -> Duration {
         match self {
             Error::Refused { rest, .. } => *rest,
@@ -141,12 +145,11 @@
 
 /// The key-value store.
 pub trait Store: Send + Sync + 'static {
-    /// Reads all items below a prefix.
+    /// Reads all items whose keys begin with `prefix`.
     fn list(&self, prefix: &str) -> impl Future<Output = Result<Listing, Error>> + Send;
 
-    /// Waits until something below the prefix changes after `after`, or until
-    /// the wait is over. Whether the store knows of the call shows only in its
-    /// answer.
+    /// Waits for changes later than `after` of keys that begin with `prefix`, until the wait ends. Only the
+    /// answer shows whether the store has received the call.
     fn watch(
         &self,
         prefix: &str,
@@ -157,12 +160,12 @@
     /// Writes one key.
     fn write(&self, write: &Write) -> impl Future<Output = Result<Outcome, Error>> + Send;
 
-    /// Begins a lease that lasts for `ttl` from the call's arrival.
+    /// Requests a lease that lasts for `ttl` from the arrival of the call.
     fn grant(&self, ttl: Duration) -> impl Future<Output = Result<Lease, Error>> + Send;
 
-    /// Renews a lease; `false` where it has run out.
+    /// Renews a lease. Returns `false` if it has expired.
     fn renew(&self, lease: Lease) -> impl Future<Output = Result<bool, Error>> + Send;
 
-    /// Ends a lease and removes its keys.
+    /// Ends a lease, which removes its keys.
     fn revoke(&self, lease: Lease) -> impl Future<Output = Result<(), Error>> + Send;
 }
