--- a/interface/src/store.rs
+++ b/interface/src/store.rs
@@ -148,8 +148,8 @@
     /// Reads all items whose keys begin with `prefix`.
     fn list(&self, prefix: &str) -> impl Future<Output = Result<Listing, Error>> + Send;
 
-    /// Waits for changes later than `after` of keys that begin with `prefix`, until the wait ends. Only the
-    /// answer shows whether the store has received the call.
+    /// Waits for changes later than `after` of keys that begin with `prefix`, until the wait ends.
+    /// Only the answer shows whether the store has received the call.
     fn watch(
         &self,
         prefix: &str,
