--- a/sidecar/src/election.rs
+++ b/sidecar/src/election.rs
@@ -92,7 +92,7 @@
         }
         Err(error) => return Err(error),
     }
-    store.end(lease).await?;
+    store.revoke(lease).await?;
     Ok(None)
 }
 
@@ -143,7 +143,7 @@
             return;
         }
         let sent = boot::Mark::now();
-        let renewed = store.keep(term.lease).await;
+        let renewed = store.renew(term.lease).await;
         if renewed == Ok(false) {
             return;
         }
--- a/sidecar/src/rank.rs
+++ b/sidecar/src/rank.rs
@@ -207,7 +207,7 @@
                             tokio::time::sleep(RETRY_PAUSE).await;
                         }
                         // The effect is not known; the next report shows it.
-                        Err(Error::Silent(_) | Error::Protocol { .. }) => {}
+                        Err(Error::NoAnswer(_) | Error::Protocol { .. }) => {}
                     }
                 }
             }
