--- a/gateway/src/answer.rs
+++ b/gateway/src/answer.rs
@@ -1,4 +1,4 @@
-//! Answers towards clients: a backend server's, whole, or one of our own.
+//! Answers towards clients: a backend server's, buffer, or one of our own.
 
 use std::time::Duration;
 
@@ -11,17 +11,17 @@
 
 use crate::body::Body;
 
-/// Longest answer that is held until it is whole; a longer one is passed on as
+/// Longest answer that is held until it is buffer; a longer one is passed on as
 /// it comes.
-pub const HOLD_LIMIT: usize = 256 * 1024;
+pub const MAX_BUFFERED: usize = 256 * 1024;
 /// When to come back where an attempt may have run and a client that may ask
 /// again is not kept waiting for anything.
-const NO_WAIT: Duration = Duration::ZERO;
+const IMMEDIATE_RETRY: Duration = Duration::ZERO;
 
 /// An answer to a client.
 pub type Response = http::Response<Body>;
 
-/// A backend server's answer, whole.
+/// A backend server's answer, buffer.
 #[derive(Debug)]
 pub struct Whole {
     /// Its head as it came.
@@ -30,15 +30,15 @@
     pub body: Bytes,
 }
 
-/// Why an answer was not read whole.
+/// Why an answer was not read buffer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub enum Fault {
+pub enum Error {
     /// It broke off.
     #[error("broken-off")]
     Broken,
     /// It did not end in time.
     #[error("deadline")]
-    Late,
+    TimedOut,
 }
 
 /// What came of reading an answer.
@@ -49,26 +49,26 @@
     Long(Bytes, Incoming),
 }
 
-/// Reads an answer's body, up to [`HOLD_LIMIT`].
+/// Reads an answer's body, up to [`MAX_BUFFERED`].
 ///
 /// # Errors
 ///
-/// A [`Fault`].
-pub async fn read(mut body: Incoming, due: boot::Instant) -> Result<Read, Fault> {
-    let mut whole = BytesMut::new();
+/// A [`Error`].
+pub async fn read(mut body: Incoming, due: boot::Instant) -> Result<Read, Error> {
+    let mut buffer = BytesMut::new();
     loop {
         let frame = tokio::time::timeout_at(due.timer(), body.frame()).await;
-        match frame.map_err(|_| Fault::Late)? {
-            None => return Ok(Read::Whole(whole.freeze())),
-            Some(Err(_)) => return Err(Fault::Broken),
+        match frame.map_err(|_| Error::TimedOut)? {
+            None => return Ok(Read::Whole(buffer.freeze())),
+            Some(Err(_)) => return Err(Error::Broken),
             Some(Ok(frame)) => {
                 if let Ok(data) = frame.into_data() {
-                    whole.extend_from_slice(&data);
+                    buffer.extend_from_slice(&data);
                 }
             }
         }
-        if whole.len() > HOLD_LIMIT {
-            return Ok(Read::Long(whole.freeze(), body));
+        if buffer.len() > MAX_BUFFERED {
+            return Ok(Read::Long(buffer.freeze(), body));
         }
     }
 }
@@ -82,7 +82,7 @@
 }
 
 /// An answer of our own.
-pub fn own<P: Protocol>(
+pub fn local<P: Protocol>(
     status: http::StatusCode,
     id: Option<&str>,
     retry_after: Option<Duration>,
@@ -97,10 +97,10 @@
 pub fn refusal<P: Protocol>(refusal: &balancer::Refusal, id: &str) -> Response {
     match refusal.outcome {
         balancer::Outcome::NotRun => {
-            own::<P>(http::StatusCode::SERVICE_UNAVAILABLE, Some(id), Some(refusal.retry_after))
+            local::<P>(http::StatusCode::SERVICE_UNAVAILABLE, Some(id), Some(refusal.retry_after))
         }
         balancer::Outcome::Unknown => {
-            own::<P>(http::StatusCode::BAD_GATEWAY, Some(id), Some(NO_WAIT))
+            local::<P>(http::StatusCode::BAD_GATEWAY, Some(id), Some(IMMEDIATE_RETRY))
         }
     }
 }
--- a/gateway/src/drain.rs
+++ b/gateway/src/drain.rs
@@ -1,10 +1,10 @@
-//! A gateway's life, and its planned stop.
+//! A gateway's lifecycle, and its planned stop.
 //!
 //! After the signal the gateway calls itself not ready, so that the platform
 //! sends no new connections, and goes on serving what comes over kept ones,
-//! each answer telling the client to close. Once the platform has noticed and
+//! each answer telling the client to close. Once the platform has taken_out and
 //! nothing is in flight, nothing more is taken and idle connections are closed.
-//! From then on, and from [`LAST_REQUEST`] on in any case, a request that still
+//! From then on, and from [`REJECT_DELAY`] on in any case, a request that still
 //! comes is refused as not run, so that all answers are out before the process
 //! is killed. The process ends once all connections are closed: an answer that
 //! has come to its end may not be written out yet.
@@ -26,25 +26,25 @@
 use crate::{exchange, state};
 
 /// The platform asks each second and takes a gateway out after two misses.
-const NOTICE_TIME: Duration = Duration::from_millis(2_300);
+const UNREADY_DELAY: Duration = Duration::from_millis(2_300);
 /// Time after the signal from which requests are refused.
-const LAST_REQUEST: Duration = Duration::from_millis(3_100);
+const REJECT_DELAY: Duration = Duration::from_millis(3_100);
 /// What is left of the grace when the process ends by itself.
 const END_MARGIN: Duration = Duration::from_millis(250);
 /// Pause between two checks whether the process may end.
-const LOOK_PAUSE: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Descriptors that clients' connections leave free: the platform keeps 200 for
 /// files, and hosts that follow this one, the store and the metrics take some.
-const KEPT_DESCRIPTORS: usize = 300;
+const RESERVED_DESCRIPTORS: usize = 300;
 /// Pause between two looks whether clients have left.
-const ROOM_PAUSE: Duration = Duration::from_millis(20);
+const CAPACITY_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The life, shared by all connections.
-pub struct Life {
+/// The lifecycle, shared by all connections.
+pub struct Lifecycle {
     inner: Mutex<Inner>,
     /// Clients' connections that may be open.
-    most_connections: usize,
+    max_connections: usize,
     phase: watch::Sender<lifecycle::Phase>,
 }
 
@@ -54,39 +54,39 @@
     /// What each open connection answers, by its number.
     connections: BTreeMap<u64, exchange::Exchange>,
     /// Connections so far.
-    connected: u64,
+    accepted: u64,
     stop: Option<boot::Instant>,
     /// Whether the process is about to end with nothing in flight.
-    shut: bool,
+    closed: bool,
 }
 
 /// How a request is to be taken.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Entry {
+pub enum Admission {
     /// As always.
     Open,
     /// Served, and the client is told to close.
     Closing,
     /// Refused: the process is about to end.
-    Shut,
+    Rejected,
 }
 
-impl Life {
-    /// A life that begins, of a process that may use so many descriptors. Each
+impl Lifecycle {
+    /// A lifecycle that begins, of a process that may use so many descriptors. Each
     /// client's connection may need another one to a backend server.
-    pub fn new(max_descriptors: usize) -> Life {
+    pub fn new(max_descriptors: usize) -> Lifecycle {
         let machine = lifecycle::Lifecycle::machine();
         let inner = Inner {
             machine,
             in_flight: 0,
             connections: BTreeMap::new(),
-            connected: 0,
+            accepted: 0,
             stop: None,
-            shut: false,
+            closed: false,
         };
-        Life {
+        Lifecycle {
             inner: Mutex::new(inner),
-            most_connections: (max_descriptors.saturating_sub(KEPT_DESCRIPTORS) / 2).max(1),
+            max_connections: (max_descriptors.saturating_sub(RESERVED_DESCRIPTORS) / 2).max(1),
             phase: watch::Sender::new(lifecycle::Phase::Starting),
         }
     }
@@ -105,24 +105,24 @@
 
     /// Whether new connections are wanted.
     pub fn ready(&self) -> bool {
-        *self.phase.borrow() == lifecycle::Phase::Serving && self.has_room()
+        *self.phase.borrow() == lifecycle::Phase::Serving && self.has_capacity()
     }
 
     /// Whether a client's connection can be taken.
-    fn has_room(&self) -> bool {
-        self.connections() < self.most_connections
+    fn has_capacity(&self) -> bool {
+        self.connections() < self.max_connections
     }
 
     /// Waits until a client's connection can be taken. Those that come meanwhile
     /// are kept by the system, and the platform finds the gateway not ready.
-    pub async fn room(&self) {
-        if self.has_room() {
+    pub async fn wait_for_capacity(&self) {
+        if self.has_capacity() {
             return;
         }
         let connections = self.connections();
         log::warn!("no more connections taken connections={connections} next=not-ready");
-        while !self.has_room() {
-            tokio::time::sleep(ROOM_PAUSE).await;
+        while !self.has_capacity() {
+            tokio::time::sleep(CAPACITY_POLL_INTERVAL).await;
         }
         log::info!("connections taken again");
     }
@@ -139,49 +139,49 @@
 
     /// Counts a request until the guard is dropped, and says how it is to be
     /// taken: in one step, so that the process does not end between the two.
-    pub fn enter<P>(gateway: &Arc<state::Gateway<P>>) -> (Entry, InFlight<P>) {
-        let mut inner = gateway.life.lock();
+    pub fn admit<P>(gateway: &Arc<state::Gateway<P>>) -> (Admission, InFlight<P>) {
+        let mut inner = gateway.lifecycle.lock();
         inner.in_flight += 1;
-        let entry = match inner.stop {
-            None => Entry::Open,
-            Some(stop) if !inner.shut && stop.elapsed() < LAST_REQUEST => Entry::Closing,
-            Some(_) => Entry::Shut,
+        let admission = match inner.stop {
+            None => Admission::Open,
+            Some(stop) if !inner.closed && stop.elapsed() < REJECT_DELAY => Admission::Closing,
+            Some(_) => Admission::Rejected,
         };
         drop(inner);
-        (entry, InFlight { gateway: gateway.clone() })
+        (admission, InFlight { gateway: gateway.clone() })
     }
 
     /// Takes nothing more, if nothing is in flight.
-    fn shut_if_idle(&self) -> bool {
+    fn close_if_idle(&self) -> bool {
         let mut inner = self.lock();
-        inner.shut |= inner.in_flight == 0;
-        inner.shut
+        inner.closed |= inner.in_flight == 0;
+        inner.closed
     }
 
     /// Counts a connection until the guard is dropped.
-    pub fn connected<P>(gateway: &Arc<state::Gateway<P>>) -> Open<P> {
+    pub fn connect<P>(gateway: &Arc<state::Gateway<P>>) -> Connection<P> {
         let exchange = exchange::Exchange::default();
-        let mut inner = gateway.life.lock();
-        inner.connected += 1;
-        let number = inner.connected;
+        let mut inner = gateway.lifecycle.lock();
+        inner.accepted += 1;
+        let number = inner.accepted;
         inner.connections.insert(number, exchange.clone());
         drop(inner);
-        Open { gateway: gateway.clone(), number, exchange }
+        Connection { gateway: gateway.clone(), number, exchange }
     }
 
     /// Follows the phase.
-    pub fn closing(&self) -> Closing {
-        Closing { phase: self.phase.subscribe() }
+    pub fn phases(&self) -> Phases {
+        Phases { phase: self.phase.subscribe() }
     }
 }
 
 /// Waits for a phase.
-pub struct Closing {
+pub struct Phases {
     phase: watch::Receiver<lifecycle::Phase>,
 }
 
-impl Closing {
-    /// Waits until the life has reached a phase.
+impl Phases {
+    /// Waits until the lifecycle has reached a phase.
     pub async fn wait(&mut self, wanted: lifecycle::Phase) {
         // The sender lives as long as the process.
         self.phase.wait_for(|phase| *phase == wanted).await.map(drop).unwrap_or_default();
@@ -195,27 +195,27 @@
 
 impl<P> Drop for InFlight<P> {
     fn drop(&mut self) {
-        self.gateway.life.lock().in_flight -= 1;
+        self.gateway.lifecycle.lock().in_flight -= 1;
     }
 }
 
 /// An open connection.
-pub struct Open<P> {
+pub struct Connection<P> {
     gateway: Arc<state::Gateway<P>>,
     number: u64,
     exchange: exchange::Exchange,
 }
 
-impl<P> Open<P> {
+impl<P> Connection<P> {
     /// What it answers.
     pub fn exchange(&self) -> &exchange::Exchange {
         &self.exchange
     }
 }
 
-impl<P> Drop for Open<P> {
+impl<P> Drop for Connection<P> {
     fn drop(&mut self) {
-        self.gateway.life.lock().connections.remove(&self.number);
+        self.gateway.lifecycle.lock().connections.remove(&self.number);
     }
 }
 
@@ -241,7 +241,7 @@
     }
 
     /// Waits for a signal to stop, reading the settings anew at each hangup.
-    async fn stop(&mut self, peers: &follow::Peers, file: &Path) {
+    async fn wait_for_stop(&mut self, peers: &follow::Peers, file: &Path) {
         loop {
             tokio::select! {
                 _ = self.terminate.recv() => return,
@@ -270,38 +270,43 @@
     file: &Path,
     mut signals: Signals,
 ) {
-    signals.stop(peers, file).await;
-    let life = &gateway.life;
+    signals.wait_for_stop(peers, file).await;
+    let lifecycle = &gateway.lifecycle;
     let grace = Duration::from_secs_f64(gateway.settings.serving.grace_s);
-    log::info!("stopping in_flight={} grace_ms={}", life.in_flight(), grace.as_millis());
-    let begun = boot::Instant::now();
-    life.lock().stop = Some(begun);
-    life.handle(lifecycle::Event::InFlight(1));
-    life.handle(lifecycle::Event::Stop);
-    let mut end = begun + grace.saturating_sub(END_MARGIN);
+    log::info!("stopping in_flight={} grace_ms={}", lifecycle.in_flight(), grace.as_millis());
+    let started = boot::Instant::now();
+    lifecycle.lock().stop = Some(started);
+    lifecycle.handle(lifecycle::Event::InFlight(1));
+    lifecycle.handle(lifecycle::Event::Stop);
+    let mut end = started + grace.saturating_sub(END_MARGIN);
     while boot::Instant::now() < end {
-        let noticed = begun.elapsed() >= NOTICE_TIME;
-        if noticed && life.shut_if_idle() {
+        let taken_out = started.elapsed() >= UNREADY_DELAY;
+        if taken_out && lifecycle.close_if_idle() {
             break;
         }
         tokio::select! {
-            () = tokio::time::sleep(LOOK_PAUSE) => {}
-            () = signals.stop(peers, file) => {
-                log::warn!("second signal in_flight={}", life.in_flight());
-                end = boot::Instant::now() + LOOK_PAUSE;
+            () = tokio::time::sleep(POLL_INTERVAL) => {}
+            () = signals.wait_for_stop(peers, file) => {
+                log::warn!("second signal in_flight={}", lifecycle.in_flight());
+                end = boot::Instant::now() + POLL_INTERVAL;
                 break;
             }
         }
     }
-    log::info!("closing in_flight={} connections={}", life.in_flight(), life.connections());
-    life.handle(lifecycle::Event::Expired);
-    while boot::Instant::now() < end && life.connections() > 0 {
-        tokio::time::sleep(LOOK_PAUSE).await;
+    log::info!(
+        "closing in_flight={} connections={}",
+        lifecycle.in_flight(),
+        lifecycle.connections()
+    );
+    lifecycle.handle(lifecycle::Event::Expired);
+    while boot::Instant::now() < end && lifecycle.connections() > 0 {
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
-    if life.connections() > 0 {
-        let (connections, in_flight) = (life.connections(), life.in_flight());
+    if lifecycle.connections() > 0 {
+        let (connections, in_flight) = (lifecycle.connections(), lifecycle.in_flight());
         log::warn!("connections cut off connections={connections} in_flight={in_flight}");
-        let open: Vec<exchange::Exchange> = life.lock().connections.values().cloned().collect();
+        let open: Vec<exchange::Exchange> =
+            lifecycle.lock().connections.values().cloned().collect();
         open.iter().for_each(|exchange| exchange.abandon(&"end of the grace"));
     }
 }
--- a/gateway/src/ended.rs
+++ b/gateway/src/ended.rs
@@ -24,12 +24,12 @@
 /// longer than a process takes to close what it has open, far shorter than a
 /// server takes to be back, which is a second and more. What follows the attempt
 /// does not wait for it.
-const LOOK_AGAIN: Duration = Duration::from_millis(150);
+const RECHECK_DELAY: Duration = Duration::from_millis(150);
 
 impl<P: Protocol> Gateway<P> {
     /// The connection to a backend server broke under a request: finds out
     /// whether the server ended, and returns how the attempt did.
-    pub(crate) async fn broke(
+    pub(crate) async fn classify_break(
         &self,
         request: &Request,
         server: entity::Server,
@@ -44,13 +44,13 @@
             request.digest,
             target.run.id,
             request.suspect,
-            request.came.elapsed().as_millis()
+            request.received.elapsed().as_millis()
         );
         if leaving {
             return balancer::End::MayHaveRun { answer_begun };
         }
         if lives {
-            self.look_again(request, target);
+            self.recheck(request, target);
             return balancer::End::MayHaveRun { answer_begun };
         }
         self.metrics.servers_ended.inc();
@@ -66,12 +66,12 @@
     }
 
     /// Looks at a server that was found alive a second time, beside what follows.
-    fn look_again(&self, request: &Request, target: &Target) {
+    fn recheck(&self, request: &Request, target: &Target) {
         let (dispatcher, mirror) = (self.dispatcher.clone(), self.mirror.clone());
         let (target, digest, alone) = (target.clone(), request.digest, request.suspect);
         let ended = self.metrics.servers_ended.clone();
         tokio::spawn(async move {
-            tokio::time::sleep(LOOK_AGAIN).await;
+            tokio::time::sleep(RECHECK_DELAY).await;
             if lives(&dispatcher, &target).await {
                 return;
             }
@@ -87,5 +87,5 @@
     let replaced = dispatcher.any_listed(|other: &Target| {
         other.address == target.address && other.run.differs(&target.run)
     });
-    !replaced && upstream::reaches(target.address).await
+    !replaced && upstream::can_connect(target.address).await
 }
--- a/gateway/src/event.rs
+++ b/gateway/src/event.rs
@@ -6,26 +6,26 @@
 
 /// Longest event that is put together; a longer one is passed on in pieces
 /// and cannot be resumed.
-const MAX_EVENT: usize = 64 * 1024;
+const MAX_EVENT_BYTES: usize = 64 * 1024;
 
 /// Puts events together. What it hands out ends with an event, so that another
 /// backend server can go on behind it.
 #[derive(Debug, Default)]
 pub struct Splitter {
-    rest: BytesMut,
+    buffer: BytesMut,
     last_id: Option<Arc<str>>,
 }
 
 impl Splitter {
     /// Takes bytes; returns the whole events that they complete.
     pub fn push(&mut self, data: &Bytes) -> Option<Bytes> {
-        self.rest.extend_from_slice(data);
-        let end = match last_blank_line(&self.rest) {
+        self.buffer.extend_from_slice(data);
+        let end = match last_blank_line(&self.buffer) {
             Some(end) => end,
-            None if self.rest.len() > MAX_EVENT => self.rest.len(),
+            None if self.buffer.len() > MAX_EVENT_BYTES => self.buffer.len(),
             None => return None,
         };
-        let whole = self.rest.split_to(end).freeze();
+        let whole = self.buffer.split_to(end).freeze();
         if let Some(id) = last_id(&whole) {
             self.last_id = Some(id);
         }
@@ -39,21 +39,21 @@
 
     /// What is left when the stream has ended.
     pub fn finish(&mut self) -> Option<Bytes> {
-        let rest = self.rest.split().freeze();
-        (!rest.is_empty()).then_some(rest)
+        let buffer = self.buffer.split().freeze();
+        (!buffer.is_empty()).then_some(buffer)
     }
 
     /// Drops the part of an event that was broken off.
     pub fn discard(&mut self) {
-        self.rest.clear();
+        self.buffer.clear();
     }
 }
 
 /// End of the last blank line.
 fn last_blank_line(bytes: &[u8]) -> Option<usize> {
-    let plain = find_last(bytes, b"\n\n").map(|at| at + 2);
-    let carriage = find_last(bytes, b"\r\n\r\n").map(|at| at + 4);
-    plain.max(carriage)
+    let lf = find_last(bytes, b"\n\n").map(|at| at + 2);
+    let crlf = find_last(bytes, b"\r\n\r\n").map(|at| at + 4);
+    lf.max(crlf)
 }
 
 fn find_last(bytes: &[u8], pattern: &[u8]) -> Option<usize> {
--- a/gateway/src/exchange.rs
+++ b/gateway/src/exchange.rs
@@ -51,7 +51,7 @@
     }
 
     /// The request's id is known.
-    pub fn name(&self, id: &Arc<str>) {
+    pub fn set_id(&self, id: &Arc<str>) {
         self.lock().id = Some(id.clone());
     }
 
@@ -86,11 +86,11 @@
 }
 
 /// Reports what a connection owes when its task ends, also by a panic.
-pub struct Report(pub Exchange);
+pub struct Guard(pub Exchange);
 
-impl Report {
+impl Guard {
     /// The connection ended as the library says.
-    pub fn ended(&self, ended: Result<(), hyper::Error>) {
+    pub fn finish(&self, ended: Result<(), hyper::Error>) {
         let exchange = &self.0;
         match ended {
             // A request whose client has left is dropped without an error.
@@ -111,7 +111,7 @@
     }
 }
 
-impl Drop for Report {
+impl Drop for Guard {
     fn drop(&mut self) {
         let panicked = std::thread::panicking();
         self.0.abandon(&if panicked { "panic" } else { "process ends" });
--- a/gateway/src/flow.rs
+++ b/gateway/src/flow.rs
@@ -18,7 +18,7 @@
 use crate::{drain, exchange, request, stream, upstream};
 
 /// Precedences that backend servers tell apart.
-const PRIORITIES: u32 = 9;
+const MAX_PRIORITY: u32 = 9;
 
 /// Answers one request.
 pub async fn handle<P: Protocol>(
@@ -26,27 +26,29 @@
     exchange: exchange::Exchange,
     request: http::Request<Incoming>,
 ) -> Result<http::Response<body::Flushed<Body>>, Infallible> {
-    let came = boot::Instant::now();
+    let received = boot::Instant::now();
     exchange.begin();
     let (head, body) = request.into_parts();
-    let (entry, flight) = drain::Life::enter(&gateway);
-    let begun = match entry {
-        drain::Entry::Shut => Err((Refusal::Stopping, P::request(&head).ok().map(|meta| meta.id))),
-        drain::Entry::Open | drain::Entry::Closing => {
-            begin(&gateway, &exchange, head, body, flight).await
+    let (admission, in_flight) = drain::Lifecycle::admit(&gateway);
+    let accepted = match admission {
+        drain::Admission::Rejected => {
+            Err((Refusal::Stopping, P::request(&head).ok().map(|meta| meta.id)))
+        }
+        drain::Admission::Open | drain::Admission::Closing => {
+            accept(&gateway, &exchange, head, body, in_flight).await
         }
     };
-    let mut response = match begun {
+    let mut response = match accepted {
         Ok(flow) => flow.run().await,
         Err((refusal, id)) => {
             let (status, retry_after) = refusal.answer();
             let id = id.as_deref();
             log::info!("refused request={} reason={refusal} status={status}", id.unwrap_or("-"));
-            gateway.metrics.ended("refused", came.elapsed());
-            answer::own::<P>(status, id, retry_after)
+            gateway.metrics.ended("refused", received.elapsed());
+            answer::local::<P>(status, id, retry_after)
         }
     };
-    if entry != drain::Entry::Open {
+    if admission != drain::Admission::Open {
         let close = http::HeaderValue::from_static("close");
         response.headers_mut().insert(http::header::CONNECTION, close);
     }
@@ -56,16 +58,16 @@
 
 type Refused = (Refusal, Option<Arc<str>>);
 
-async fn begin<P: Protocol>(
+async fn accept<P: Protocol>(
     gateway: &Arc<Gateway<P>>,
     exchange: &exchange::Exchange,
     head: http::request::Parts,
     body: Incoming,
-    flight: drain::InFlight<P>,
+    in_flight: drain::InFlight<P>,
 ) -> Result<Flow<P>, Refused> {
     let meta = P::request(&head).map_err(|_| (Refusal::Header, None))?;
     let id = meta.id.clone();
-    exchange.name(&id);
+    exchange.set_id(&id);
     let refused = |refusal| (refusal, Some(id.clone()));
     let routes = gateway.routes.load_full().ok_or_else(|| refused(Refusal::NoConfig))?;
     let request = request::read(head, body, meta, &routes).await.map_err(refused)?;
@@ -78,24 +80,24 @@
     }
     let suspect = gateway.mirror.ends.apart(request.digest);
     let request = Arc::new(Request { suspect, ..request });
-    Ok(Flow { gateway: gateway.clone(), request, flight })
+    Ok(Flow { gateway: gateway.clone(), request, in_flight })
 }
 
 /// A request on its way.
 struct Flow<P> {
     gateway: Arc<Gateway<P>>,
     request: Arc<Request>,
-    flight: drain::InFlight<P>,
+    in_flight: drain::InFlight<P>,
 }
 
-/// What an attempt came to.
-enum Sent {
+/// What an attempt received to.
+enum Outcome {
     /// An answer to hand on; the attempt is over.
     Whole(answer::Whole),
     /// The head of a stream's answer.
-    Stream(Box<Begun>),
+    Stream(Box<Stream>),
     /// An answer that is too long to be held: its beginning, and the rest.
-    Long(Box<Begun>, bytes::Bytes),
+    Long(Box<Stream>, bytes::Bytes),
     /// The connection broke before the answer was whole.
     Broken(String),
     /// It failed; the balancer says what follows. A failure that a backend
@@ -104,7 +106,7 @@
 }
 
 /// A stream's answer whose head has come.
-pub struct Begun {
+pub struct Stream {
     /// Its head.
     pub head: http::response::Parts,
     /// Its events.
@@ -123,7 +125,7 @@
     async fn run(self) -> Response {
         let request = self.request.clone();
         let mut permit = self.gateway.dispatcher.arrive(&arrival(&request));
-        let mut kept: Option<answer::Whole> = None;
+        let mut failure: Option<answer::Whole> = None;
         let gateway = self.gateway.clone();
         // Others may find out what it does while it waits or is being sent.
         let refused = gateway.mirror.ends.refused(request.digest);
@@ -131,45 +133,45 @@
         loop {
             let next = tokio::select! {
                 biased;
-                _ = &mut refused => return self.ends_servers(),
+                _ = &mut refused => return self.reject_poison(),
                 next = tokio::time::timeout_at(request.due.timer(), permit.next()) => next,
             };
             let next = match next {
                 Ok(Some(next)) => next,
                 // The balancer gives up a request at its deadline itself, so
                 // this is only reached where the two clocks cross.
-                Ok(None) | Err(_) => return self.late(),
+                Ok(None) | Err(_) => return self.timed_out(),
             };
             let attempt = match next {
                 dispatch::Next::Send(attempt) => attempt,
-                dispatch::Next::Refuse(refusal) => return self.refuse(&refusal, kept),
+                dispatch::Next::Refuse(refusal) => return self.refuse(&refusal, failure),
             };
             let sent = tokio::select! {
                 biased;
                 _ = &mut refused => {
                     gateway.abandon(&request, &attempt.target);
-                    return self.ends_servers();
+                    return self.reject_poison();
                 }
                 sent = self.gateway.send(&request, &attempt, None) => sent,
             };
             match sent {
-                Sent::Whole(whole) => {
+                Outcome::Whole(whole) => {
                     permit.end(balancer::End::Answered);
                     return self.answered(whole);
                 }
-                Sent::Stream(begun) => {
-                    permit.begin(request.came.elapsed());
-                    return self.stream(*begun, permit);
+                Outcome::Stream(stream) => {
+                    permit.begin(request.received.elapsed());
+                    return self.relay_stream(*stream, permit);
                 }
-                Sent::Long(begun, first) => return self.long(*begun, first, permit),
-                Sent::Broken(cause) => {
-                    self.gateway.note(&request, &attempt, &cause);
+                Outcome::Long(stream, first) => return self.relay_long(*stream, first, permit),
+                Outcome::Broken(cause) => {
+                    self.gateway.log_failure(&request, &attempt, &cause);
                     let (server, target) = (attempt.server, &attempt.target);
-                    permit.end(self.gateway.broke(&request, server, target, false).await);
+                    permit.end(self.gateway.classify_break(&request, server, target, false).await);
                 }
-                Sent::Failed(end, answer, cause) => {
-                    self.gateway.note(&request, &attempt, &cause);
-                    kept = answer.or(kept);
+                Outcome::Failed(end, answer, cause) => {
+                    self.gateway.log_failure(&request, &attempt, &cause);
+                    failure = answer.or(failure);
                     permit.end(end);
                 }
             }
@@ -177,15 +179,15 @@
     }
 
     fn answered(self, whole: answer::Whole) -> Response {
-        self.gateway.came_to_its_end(&self.request, whole.head.status);
+        self.gateway.clear_suspicion(&self.request, whole.head.status);
         self.done("answered", whole.head.status.as_str());
         answer::relay::<P>(&whole.head, Body::whole(whole.body))
     }
 
     /// The final answer of a request that is given up: a failure that a
     /// backend server answered goes before one of our own.
-    fn refuse(self, refusal: &balancer::Refusal, kept: Option<answer::Whole>) -> Response {
-        if let Some(whole) = kept {
+    fn refuse(self, refusal: &balancer::Refusal, failure: Option<answer::Whole>) -> Response {
+        if let Some(whole) = failure {
             return self.answered(whole);
         }
         let outcome = match refusal.outcome {
@@ -198,28 +200,33 @@
 
     /// Given up since backend servers ended under it. Dropping its permit and its
     /// connection takes it off the one that may be running it.
-    fn ends_servers(self) -> Response {
+    fn reject_poison(self) -> Response {
         let refusal = Refusal::EndsServers;
         self.done("refused", &refusal.to_string());
         let (status, retry_after) = refusal.answer();
-        answer::own::<P>(status, Some(&*self.request.meta.id), retry_after)
+        answer::local::<P>(status, Some(&*self.request.meta.id), retry_after)
     }
 
-    fn late(self) -> Response {
+    fn timed_out(self) -> Response {
         self.done("unknown", "deadline");
         let id = &*self.request.meta.id;
-        answer::own::<P>(http::StatusCode::GATEWAY_TIMEOUT, Some(id), None)
+        answer::local::<P>(http::StatusCode::GATEWAY_TIMEOUT, Some(id), None)
     }
 
-    fn stream(self, begun: Begun, permit: dispatch::Permit<Target>) -> Response {
-        let (relay, response) = self.relay(&begun.head, permit);
-        tokio::spawn(relay.run(begun));
+    fn relay_stream(self, stream: Stream, permit: dispatch::Permit<Target>) -> Response {
+        let (relay, response) = self.relay(&stream.head, permit);
+        tokio::spawn(relay.run(stream));
         response
     }
 
-    fn long(self, begun: Begun, first: bytes::Bytes, permit: dispatch::Permit<Target>) -> Response {
-        let (relay, response) = self.relay(&begun.head, permit);
-        tokio::spawn(relay.copy(begun, first));
+    fn relay_long(
+        self,
+        stream: Stream,
+        first: bytes::Bytes,
+        permit: dispatch::Permit<Target>,
+    ) -> Response {
+        let (relay, response) = self.relay(&stream.head, permit);
+        tokio::spawn(relay.run_long(stream, first));
         response
     }
 
@@ -228,14 +235,14 @@
         head: &http::response::Parts,
         permit: dispatch::Permit<Target>,
     ) -> (stream::Relay<P>, Response) {
-        let (sender, receiver) = tokio::sync::mpsc::channel(stream::QUEUE);
+        let (sender, receiver) = tokio::sync::mpsc::channel(stream::QUEUE_LEN);
         let response = answer::relay::<P>(head, Body::Stream(receiver));
         let relay = stream::Relay {
             gateway: self.gateway,
             request: self.request,
             permit,
             sender,
-            _flight: self.flight,
+            _in_flight: self.in_flight,
             timing: stream::Timing::default(),
         };
         (relay, response)
@@ -257,7 +264,7 @@
         resumable: route.kind == route::Kind::Streaming { resumable: true },
         max_attempts: route.max_attempts,
         due: request.due,
-        begin_by: request.came + route.objective,
+        begin_by: request.received + route.objective,
         suspect: request.suspect.then_some(request.digest),
     }
 }
@@ -270,7 +277,7 @@
         outcome: &'static str,
         reason: &dyn std::fmt::Display,
     ) {
-        let time = request.came.elapsed();
+        let time = request.received.elapsed();
         self.metrics.ended(outcome, time);
         log::info!(
             "outcome request={} outcome={outcome} reason={reason} ms={}",
@@ -279,23 +286,28 @@
         );
     }
 
-    /// An answer came to its end: the request ended no server, unless the server
+    /// An answer received to its end: the request ended no server, unless the server
     /// failed before it did what was asked.
-    pub(crate) fn came_to_its_end(&self, request: &Request, status: http::StatusCode) {
+    pub(crate) fn clear_suspicion(&self, request: &Request, status: http::StatusCode) {
         if status.is_success() {
             self.mirror.ends.clear(request.digest);
         }
     }
 
     /// Logs why an attempt failed.
-    pub(crate) fn note(&self, request: &Request, attempt: &dispatch::Attempt<Target>, cause: &str) {
+    pub(crate) fn log_failure(
+        &self,
+        request: &Request,
+        attempt: &dispatch::Attempt<Target>,
+        cause: &str,
+    ) {
         log::info!(
             "attempt failed request={} digest={} attempt={} server={} cause=\"{cause}\" ms={}",
             request.meta.id,
             request.digest,
             attempt.number,
             attempt.target.run.id,
-            request.came.elapsed().as_millis()
+            request.received.elapsed().as_millis()
         );
     }
 
@@ -305,11 +317,15 @@
         request: &Request,
         attempt: &dispatch::Attempt<Target>,
         resume_after: Option<Arc<str>>,
-    ) -> Sent {
+    ) -> Outcome {
         let left = request.due.saturating_duration_since(boot::Instant::now());
         // The timers of the request are late if the host was suspended.
         if left.is_zero() {
-            return Sent::Failed(balancer::End::NeverRan, None, "overdue before sent".to_owned());
+            return Outcome::Failed(
+                balancer::End::NeverRan,
+                None,
+                "overdue before sent".to_owned(),
+            );
         }
         log::info!(
             "attempt request={} digest={} number={} server={} reason={} score={:.2} open={} passed_over={} config={} left_ms={}",
@@ -320,7 +336,7 @@
             attempt.reason,
             attempt.score,
             attempt.open,
-            names(&attempt.passed_over),
+            join(&attempt.passed_over),
             request.version,
             left.as_millis()
         );
@@ -332,11 +348,11 @@
         let reply = match tokio::time::timeout_at(request.due.timer(), reply).await {
             Ok(Ok(reply)) => reply,
             Ok(Err(upstream::Error::NotSent(cause))) => {
-                return Sent::Failed(balancer::End::Unreachable, None, cause);
+                return Outcome::Failed(balancer::End::Unreachable, None, cause);
             }
-            Ok(Err(upstream::Error::NoAnswer(cause))) => return Sent::Broken(cause),
+            Ok(Err(upstream::Error::NoAnswer(cause))) => return Outcome::Broken(cause),
             Ok(Err(error @ upstream::Error::Withheld)) => {
-                return Sent::Failed(balancer::End::Withheld, None, error.to_string());
+                return Outcome::Failed(balancer::End::Withheld, None, error.to_string());
             }
             Err(_) => return may_have_run("deadline".to_owned()),
         };
@@ -348,37 +364,37 @@
         request: &Request,
         attempt: &dispatch::Attempt<Target>,
         reply: upstream::Reply,
-    ) -> Sent {
+    ) -> Outcome {
         let (head, body) = reply.response.into_parts();
         let answer = P::answer(&head, &request.meta.id);
         if let Some(load) = answer.load {
             self.dispatcher.report(attempt.server, load);
         }
-        self.take_notice(request, attempt, head.status, &answer.notice);
-        self.take_limit(request, attempt, head.status, answer.rate);
+        self.apply_notice(request, attempt, head.status, &answer.notice);
+        self.apply_limit(request, attempt, head.status, answer.rate);
         match answer.verdict {
             Verdict::Answered => {}
             Verdict::Foreign => return may_have_run("answer of another request".to_owned()),
             Verdict::NotRun(NotRun::GroupDown) => {
-                return Sent::Failed(balancer::End::GroupDown, None, "group down".to_owned());
+                return Outcome::Failed(balancer::End::GroupDown, None, "group down".to_owned());
             }
             Verdict::NotRun(NotRun::OtherInstance) => {
                 self.dispatcher.unlist(attempt.server);
-                return Sent::Failed(balancer::End::NeverRan, None, "other instance".to_owned());
+                return Outcome::Failed(balancer::End::NeverRan, None, "other instance".to_owned());
             }
             Verdict::NotRun(NotRun::Rejected) => {
                 let cause = format!("rejected with status {}", head.status);
-                return Sent::Failed(balancer::End::NeverRan, None, cause);
+                return Outcome::Failed(balancer::End::NeverRan, None, cause);
             }
             Verdict::NotRun(NotRun::Unavailable | NotRun::Throttled) => {
                 let cause = format!("no room, status {}", head.status);
-                return Sent::Failed(balancer::End::Full, None, cause);
+                return Outcome::Failed(balancer::End::Full, None, cause);
             }
         }
         let (target, server) = (attempt.target.clone(), attempt.server);
         if request.grant.route.kind.streaming() && head.status.is_success() {
             let connection = reply.connection;
-            return Sent::Stream(Box::new(Begun {
+            return Outcome::Stream(Box::new(Stream {
                 head,
                 body,
                 answer,
@@ -396,19 +412,19 @@
                 // Another backend server may do better.
                 if whole.head.status.is_server_error() && request.grant.route.kind.repeatable() {
                     let cause = format!("status {}", whole.head.status);
-                    return Sent::Failed(FAILED, Some(whole), cause);
+                    return Outcome::Failed(MAY_HAVE_RUN, Some(whole), cause);
                 }
-                Sent::Whole(whole)
+                Outcome::Whole(whole)
             }
             Ok(answer::Read::Long(first, body)) => {
                 let connection = reply.connection;
-                Sent::Long(
-                    Box::new(Begun { head, body, answer, connection, target, server }),
+                Outcome::Long(
+                    Box::new(Stream { head, body, answer, connection, target, server }),
                     first,
                 )
             }
-            Err(fault @ answer::Fault::Broken) => Sent::Broken(fault.to_string()),
-            Err(fault @ answer::Fault::Late) => may_have_run(fault.to_string()),
+            Err(error @ answer::Error::Broken) => Outcome::Broken(error.to_string()),
+            Err(error @ answer::Error::TimedOut) => may_have_run(error.to_string()),
         }
     }
 
@@ -418,30 +434,32 @@
         request: &Request,
         attempt: &dispatch::Attempt<Target>,
         after: Option<Arc<str>>,
-    ) -> Result<Begun, (balancer::End, String)> {
+    ) -> Result<Stream, (balancer::End, String)> {
         match self.send(request, attempt, after.clone()).await {
-            Sent::Stream(begun) => Ok(*begun),
-            Sent::Whole(whole) => Err((FAILED, format!("status {}", whole.head.status))),
-            Sent::Long(begun, _) => Err((FAILED, format!("status {}", begun.head.status))),
-            Sent::Broken(cause) => {
+            Outcome::Stream(stream) => Ok(*stream),
+            Outcome::Whole(whole) => Err((MAY_HAVE_RUN, format!("status {}", whole.head.status))),
+            Outcome::Long(stream, _) => {
+                Err((MAY_HAVE_RUN, format!("status {}", stream.head.status)))
+            }
+            Outcome::Broken(cause) => {
                 let (server, target) = (attempt.server, &attempt.target);
-                Err((self.broke(request, server, target, after.is_some()).await, cause))
+                Err((self.classify_break(request, server, target, after.is_some()).await, cause))
             }
-            Sent::Failed(end, _, cause) => Err((end, cause)),
+            Outcome::Failed(end, _, cause) => Err((end, cause)),
         }
     }
 }
 
 /// Ids with commas between them.
-fn names(ids: &[Arc<str>]) -> String {
+fn join(ids: &[Arc<str>]) -> String {
     if ids.is_empty() { "-".to_owned() } else { ids.join(",") }
 }
 
 /// End of an attempt that may have run, of whose answer the client saw nothing.
-const FAILED: balancer::End = balancer::End::MayHaveRun { answer_begun: false };
+const MAY_HAVE_RUN: balancer::End = balancer::End::MayHaveRun { answer_begun: false };
 
-fn may_have_run(cause: String) -> Sent {
-    Sent::Failed(FAILED, None, cause)
+fn may_have_run(cause: String) -> Outcome {
+    Outcome::Failed(MAY_HAVE_RUN, None, cause)
 }
 
 fn message<P: Protocol>(
@@ -454,7 +472,7 @@
         instance: target.run.id.clone(),
         team: request.grant.team.as_ref().map(|team| team.name.clone()),
         left: Some(left),
-        priority: Some(request.grant.precedence().min(PRIORITIES) as u8),
+        priority: Some(request.grant.precedence().min(MAX_PRIORITY) as u8),
         resume_after,
     };
     let mut message = http::Request::new(Full::new(request.body.clone()));
--- a/gateway/src/health.rs
+++ b/gateway/src/health.rs
@@ -18,7 +18,7 @@
 fn answer<P: Protocol>(gateway: &state::Gateway<P>, path: &str) -> http::Response<Full<Bytes>> {
     let (status, text) = match path {
         METRICS_PATH => (http::StatusCode::OK, gateway.metrics.encode(gateway)),
-        path if path == P::READY_PATH && gateway.life.ready() => {
+        path if path == P::READY_PATH && gateway.lifecycle.ready() => {
             (http::StatusCode::OK, "ready\n".to_owned())
         }
         path if path == P::READY_PATH => {
--- a/gateway/src/lib.rs
+++ b/gateway/src/lib.rs
@@ -47,7 +47,7 @@
 
 /// Peers that a gateway follows. With three, a change reaches a gateway while
 /// two of its peers are cut off from the store as well.
-const FOLLOWED: usize = 3;
+const FOLLOWED_PEERS: usize = 3;
 
 /// Why the gateway could not run.
 #[derive(Debug, thiserror::Error)]
@@ -80,9 +80,9 @@
     let listen = settings.listen.clone();
     let host = settings.host.clone();
     let clients = bind(listen.client_address, CLIENT_BACKLOG)?;
-    let ready = bind(listen.ready_address, SMALL_BACKLOG)?;
-    let peers = bind(listen.peer_address, SMALL_BACKLOG)?;
-    let metrics = bind(host.metrics_address, SMALL_BACKLOG)?;
+    let ready = bind(listen.ready_address, INTERNAL_BACKLOG)?;
+    let peer_listener = bind(listen.peer_address, INTERNAL_BACKLOG)?;
+    let metrics = bind(host.metrics_address, INTERNAL_BACKLOG)?;
     let gateway = Arc::new(state::Gateway::<P>::new(settings));
     for subject in subjects::<P>(&gateway.settings.serving) {
         let own = register::Own {
@@ -99,35 +99,35 @@
         zone: host.zone.clone(),
         address: Some(listen.peer_address),
     };
-    let known = Arc::new(follow::Peers::new(own, host.seeds.clone()));
-    for follower in 0..FOLLOWED {
-        tokio::spawn(follow::run(gateway.mirror.clone(), known.clone(), follower));
+    let peers = Arc::new(follow::Peers::new(own, host.seeds.clone()));
+    for follower in 0..FOLLOWED_PEERS {
+        tokio::spawn(follow::run(gateway.mirror.clone(), peers.clone(), follower));
     }
     let entry = register::Entry { address: listen.peer_address, zone: host.zone.clone() };
     tokio::spawn(ends::run(gateway.mirror.clone(), store.clone()));
     tokio::spawn(lifts::run(gateway.mirror.clone(), store.clone()));
     tokio::spawn(register::run(gateway.mirror.clone(), store, host.name.clone(), entry));
     tokio::spawn(gateway.mirror.clone().expire());
-    tokio::spawn(serve_peers(gateway.mirror.clone(), host.zone.clone(), peers));
+    tokio::spawn(serve_peers(gateway.mirror.clone(), host.zone.clone(), peer_listener));
     tokio::spawn(health::serve(gateway.clone(), ready));
     tokio::spawn(health::serve(gateway.clone(), metrics));
     tokio::spawn(state::follow(gateway.clone()));
     tokio::spawn(probe::run(gateway.clone()));
-    tokio::spawn(probe::settle(gateway.clone()));
-    tokio::spawn(notice_suspensions(gateway.mirror.clone()));
+    tokio::spawn(probe::check_restarted(gateway.clone()));
+    tokio::spawn(resync_after_suspension(gateway.mirror.clone()));
     let dispatcher = gateway.dispatcher.clone();
     tokio::spawn(async move { dispatcher.run().await });
     tokio::spawn(server::run(gateway.clone(), clients));
     log::info!("started host={} zone={} clients={}", host.name, host.zone, listen.client_address);
-    drain::wait(&gateway, &known, file, signals).await;
+    drain::wait(&gateway, &peers, file, signals).await;
     log::info!("stopped host={}", host.name);
     Ok(())
 }
 
-/// Time within which a change of loftcove's own keys is to be known: peers'
+/// Time within which a change of loftcove's own keys is to be peers: peers'
 /// addresses, members and drivers of groups. All of these go on by what was
-/// known before, and entries of peers outlast their owners by as long.
-const OWN_BOUND: Duration = Duration::from_secs(20);
+/// peers before, and entries of peers outlast their owners by as long.
+const OWN_KEYS_BOUND: Duration = Duration::from_secs(20);
 
 /// What a gateway watches in the store.
 fn subjects<P: Protocol>(serving: &settings::Serving) -> [watch::Subject; 3] {
@@ -143,7 +143,7 @@
             bound: ms(serving.drain_bound_ms),
             entries: true,
         },
-        watch::Subject { prefix: mirror::OWN_PREFIX, bound: OWN_BOUND, entries: false },
+        watch::Subject { prefix: mirror::OWN_PREFIX, bound: OWN_KEYS_BOUND, entries: false },
     ]
 }
 
@@ -156,19 +156,19 @@
 /// back at once after the other gateways have gone.
 const CLIENT_BACKLOG: u32 = 1_024;
 /// The same, for the platform's and our own processes.
-const SMALL_BACKLOG: u32 = 128;
+const INTERNAL_BACKLOG: u32 = 128;
 
 fn bind(address: SocketAddr, backlog: u32) -> Result<TcpListener, Error> {
-    let fault = |source| Error::Listen { address, source };
-    let socket = tokio::net::TcpSocket::new_v4().map_err(fault)?;
-    socket.set_reuseaddr(true).map_err(fault)?;
-    socket.bind(address).map_err(fault)?;
-    socket.listen(backlog).map_err(fault)
+    let listen_error = |source| Error::Listen { address, source };
+    let socket = tokio::net::TcpSocket::new_v4().map_err(listen_error)?;
+    socket.set_reuseaddr(true).map_err(listen_error)?;
+    socket.bind(address).map_err(listen_error)?;
+    socket.listen(backlog).map_err(listen_error)
 }
 
 /// Has the store asked for what was missed, each time that the host has been
 /// suspended.
-async fn notice_suspensions(mirror: Arc<mirror::Mirror>) {
+async fn resync_after_suspension(mirror: Arc<mirror::Mirror>) {
     loop {
         let time = boot::wait_for_suspension().await;
         mirror.woke(time);
--- a/gateway/src/metrics.rs
+++ b/gateway/src/metrics.rs
@@ -118,10 +118,10 @@
     pub fn encode<P: Protocol>(&self, gateway: &state::Gateway<P>) -> String {
         let waiting: Gauge = Gauge::default();
         waiting.set(gateway.dispatcher.waiting() as i64);
-        let flights: Gauge = Gauge::default();
-        flights.set(gateway.life.in_flight() as i64);
+        let in_flight: Gauge = Gauge::default();
+        in_flight.set(gateway.lifecycle.in_flight() as i64);
         let connections: Gauge = Gauge::default();
-        connections.set(gateway.life.connections() as i64);
+        connections.set(gateway.lifecycle.connections() as i64);
         let mut registry = Registry::with_prefix("loftcove");
         registry.register("requests", "Requests by outcome", self.requests.clone());
         registry.register("attempts", "Attempts sent", self.attempts.clone());
@@ -157,7 +157,7 @@
         followers.set(gateway.mirror.followers.count() as i64);
         registry.register("followers", "Hosts that follow this one", followers);
         registry.register("waiting", "Requests that wait", waiting);
-        registry.register("in_flight", "Requests in flight", flights);
+        registry.register("in_flight", "Requests in flight", in_flight);
         registry.register("connections", "Connections of clients", connections);
         Watches::of(&gateway.mirror.progress).register(&mut registry);
         let mut out = String::new();
--- a/gateway/src/notice.rs
+++ b/gateway/src/notice.rs
@@ -10,7 +10,7 @@
 
 impl<P: Protocol> Gateway<P> {
     /// Takes what an answer says of its backend server's near future.
-    pub(crate) fn take_notice(
+    pub(crate) fn apply_notice(
         &self,
         request: &Request,
         attempt: &dispatch::Attempt<Target>,
@@ -47,7 +47,7 @@
     }
 
     /// Takes what an answer says of its backend server's rate limit.
-    pub(crate) fn take_limit(
+    pub(crate) fn apply_limit(
         &self,
         request: &Request,
         attempt: &dispatch::Attempt<Target>,
--- a/gateway/src/probe.rs
+++ b/gateway/src/probe.rs
@@ -12,40 +12,40 @@
 
 /// Pause between two probes of a gateway. A probe costs two packets; the time
 /// until one comes about is what callers lose after the way is open again.
-const PAUSE: Duration = Duration::from_millis(200);
+const PROBE_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Probes groups that are out of reach until the process ends.
 pub async fn run<P: Protocol>(gateway: Arc<state::Gateway<P>>) {
     loop {
         for (group, ranks) in gateway.dispatcher.out_of_reach().await {
-            let place = rand::random_range(0..ranks.len().max(1));
-            let Some(target) = ranks.get(place) else { continue };
-            if upstream::reaches(target.address).await {
+            let index = rand::random_range(0..ranks.len().max(1));
+            let Some(target) = ranks.get(index) else { continue };
+            if upstream::can_connect(target.address).await {
                 gateway.dispatcher.reached(group);
             }
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(PROBE_INTERVAL).await;
     }
 }
 
 /// Pause between two health checks of a backend server.
-const HEALTH_PAUSE: Duration = Duration::from_millis(500);
+const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// Health checks of a gateway at a time.
-const HEALTH_CHECKS: usize = 8;
+const MAX_HEALTH_CHECKS: usize = 8;
 
 /// Settles whether restarted backend servers leave whose earlier run said so, until the
 /// process ends. They get nothing meanwhile.
-pub async fn settle<P: Protocol>(gateway: Arc<state::Gateway<P>>) {
+pub async fn check_restarted<P: Protocol>(gateway: Arc<state::Gateway<P>>) {
     loop {
         let unsettled = gateway.dispatcher.unsettled().await;
-        for servers in unsettled.chunks(HEALTH_CHECKS) {
+        for servers in unsettled.chunks(MAX_HEALTH_CHECKS) {
             let mut checks = tokio::task::JoinSet::new();
             for (server, target) in servers.iter().cloned() {
                 checks.spawn(check(gateway.clone(), server, target));
             }
             checks.join_all().await;
         }
-        tokio::time::sleep(HEALTH_PAUSE).await;
+        tokio::time::sleep(HEALTH_CHECK_INTERVAL).await;
     }
 }
 
--- a/gateway/src/request.rs
+++ b/gateway/src/request.rs
@@ -12,10 +12,10 @@
 
 /// Longest time that a request is worked on where neither the client nor the
 /// route says.
-const LONGEST: Duration = Duration::from_secs(60);
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(60);
 /// Taken off the time that the client and the route give, so that a last
 /// answer arrives in time.
-const MARGIN: Duration = Duration::from_millis(20);
+const DEADLINE_MARGIN: Duration = Duration::from_millis(20);
 
 /// Why a request is answered without any attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
@@ -47,9 +47,9 @@
     /// Status and, where coming back helps, when.
     pub fn answer(self) -> (http::StatusCode, Option<Duration>) {
         /// A gateway knows a configuration within this time of its start.
-        const START_TIME: Duration = Duration::from_millis(500);
+        const CONFIG_RETRY_AFTER: Duration = Duration::from_millis(500);
         match self {
-            Refusal::NoConfig => (http::StatusCode::SERVICE_UNAVAILABLE, Some(START_TIME)),
+            Refusal::NoConfig => (http::StatusCode::SERVICE_UNAVAILABLE, Some(CONFIG_RETRY_AFTER)),
             // Other gateways serve.
             Refusal::Stopping => (http::StatusCode::SERVICE_UNAVAILABLE, Some(Duration::ZERO)),
             Refusal::Route(route::Refusal::NoRoute) => (http::StatusCode::NOT_FOUND, None),
@@ -80,7 +80,7 @@
     /// Service that is to answer it.
     pub service: Arc<str>,
     /// When it came.
-    pub came: boot::Instant,
+    pub received: boot::Instant,
     /// When the final answer is due.
     pub due: boot::Instant,
     /// Version of the configuration that decided.
@@ -98,16 +98,16 @@
     meta: protocol::Request,
     routes: &route::Table,
 ) -> Result<Request, Refusal> {
-    let came = boot::Instant::now();
+    let received = boot::Instant::now();
     let grant = routes.find(&meta.host, head.uri.path(), meta.key.as_deref())?;
-    let patience = meta.patience.unwrap_or(LONGEST).min(grant.route.timeout);
-    let due = came + patience.saturating_sub(MARGIN);
+    let timeout = meta.patience.unwrap_or(DEFAULT_TIMEOUT).min(grant.route.timeout);
+    let due = received + timeout.saturating_sub(DEADLINE_MARGIN);
     let body = tokio::time::timeout_at(due.timer(), collect(body, routes.limits.body_bytes));
     let body = body.await.map_err(|_| Refusal::Truncated)??;
     let service = grant.route.target(rand::random()).clone();
     let digest = digest(&head, &meta, &grant, &body);
     let (suspect, version) = (false, routes.version);
-    Ok(Request { head, body, meta, grant, digest, suspect, service, came, due, version })
+    Ok(Request { head, body, meta, grant, digest, suspect, service, received, due, version })
 }
 
 /// What stays the same when a caller asks again: the team stands for the caller,
--- a/gateway/src/server.rs
+++ b/gateway/src/server.rs
@@ -14,32 +14,32 @@
 /// Longest time that a connection is idle before the configuration's limit is
 /// known, and what is added to that limit, so that we never close first on a
 /// client that keeps to it.
-const IDLE_TIME: Duration = Duration::from_secs(60);
-/// See [`IDLE_TIME`].
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(60);
+/// See [`DEFAULT_IDLE_TIMEOUT`].
 const IDLE_MARGIN: Duration = Duration::from_secs(5);
 /// Least room for a request's head.
-const MIN_HEAD: usize = 16 * 1024;
+const MIN_HEADER_BYTES: usize = 16 * 1024;
 /// Longest time that sent bytes may stay unacknowledged: a client that was cut
 /// off holds its connection no longer.
-const UNACKNOWLEDGED: Duration = Duration::from_secs(10);
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Takes connections until the process is about to end. Later ones are refused by the
 /// system, so that clients know that nothing was read.
 pub async fn run<P: Protocol>(gateway: Arc<state::Gateway<P>>, listener: TcpListener) {
-    let mut closing = gateway.life.closing();
+    let mut phases = gateway.lifecycle.phases();
     tokio::select! {
         () = accept(&gateway, &listener) => {}
-        () = closing.wait(lifecycle::Phase::Stopped) => {}
+        () = phases.wait(lifecycle::Phase::Stopped) => {}
     }
 }
 
 async fn accept<P: Protocol>(gateway: &Arc<state::Gateway<P>>, listener: &TcpListener) {
     loop {
-        gateway.life.room().await;
+        gateway.lifecycle.wait_for_capacity().await;
         match listener.accept().await {
             Ok((stream, _)) => {
-                let open = drain::Life::connected(gateway);
-                tokio::spawn(serve(gateway.clone(), stream, open));
+                let connection = drain::Lifecycle::connect(gateway);
+                tokio::spawn(serve(gateway.clone(), stream, connection));
             }
             Err(error) => {
                 // Out of file descriptors, mostly: others must end first.
@@ -53,40 +53,40 @@
 async fn serve<P: Protocol>(
     gateway: Arc<state::Gateway<P>>,
     stream: TcpStream,
-    open: drain::Open<P>,
+    connection: drain::Connection<P>,
 ) {
-    let options = stream
-        .set_nodelay(true)
-        .and_then(|()| socket2::SockRef::from(&stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED)));
+    let options = stream.set_nodelay(true).and_then(|()| {
+        socket2::SockRef::from(&stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))
+    });
     if let Err(error) = options {
         log::debug!("client's connection has ended error=\"{error}\"");
         return;
     }
     let limits = gateway.routes.load().as_ref().map(|table| table.limits);
-    let idle = limits.map_or(IDLE_TIME, |limits| limits.idle_timeout) + IDLE_MARGIN;
-    let head = limits.map_or(MIN_HEAD, |limits| limits.header_bytes.max(MIN_HEAD));
-    let mut closing = gateway.life.closing();
-    let report = exchange::Report(open.exchange().clone());
+    let idle = limits.map_or(DEFAULT_IDLE_TIMEOUT, |limits| limits.idle_timeout) + IDLE_MARGIN;
+    let head = limits.map_or(MIN_HEADER_BYTES, |limits| limits.header_bytes.max(MIN_HEADER_BYTES));
+    let mut phases = gateway.lifecycle.phases();
+    let guard = exchange::Guard(connection.exchange().clone());
     let service = {
-        let (gateway, exchange) = (gateway.clone(), open.exchange().clone());
+        let (gateway, exchange) = (gateway.clone(), connection.exchange().clone());
         hyper::service::service_fn(move |request| {
             flow::handle(gateway.clone(), exchange.clone(), request)
         })
     };
-    let connection = http1::Builder::new()
+    let served = http1::Builder::new()
         .timer(TokioTimer::new())
         // The library counts the time between two requests as well.
         .header_read_timeout(idle)
         .max_buf_size(head * 2)
         .serve_connection(TokioIo::new(stream), service);
-    tokio::pin!(connection);
+    tokio::pin!(served);
     let ended = tokio::select! {
-        ended = connection.as_mut() => ended,
-        () = closing.wait(lifecycle::Phase::Stopped) => {
+        ended = served.as_mut() => ended,
+        () = phases.wait(lifecycle::Phase::Stopped) => {
             // Closes at once where it is idle; an answer in flight goes on.
-            connection.as_mut().graceful_shutdown();
-            connection.await
+            served.as_mut().graceful_shutdown();
+            served.await
         }
     };
-    report.ended(ended);
+    guard.finish(ended);
 }
--- a/gateway/src/state.rs
+++ b/gateway/src/state.rs
@@ -23,11 +23,11 @@
 /// Requests that may wait for a backend server.
 const MAX_WAITING: usize = 512;
 /// Shortest time after which a refused client is told to come back.
-const SHORTEST_RETURN: Duration = Duration::from_millis(300);
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(300);
 /// Time after which a client is told to come back whose group is broken. Groups
-/// are down for seconds, and clients wait for a third of their time at most:
+/// are down for seconds, and clients wait for a third of their time at total:
 /// sooner would mostly be too soon.
-const GROUP_RETURN: Duration = Duration::from_millis(2_600);
+const GROUP_RETRY_AFTER: Duration = Duration::from_millis(2_600);
 
 /// Where a backend server takes requests.
 #[derive(Debug, Clone)]
@@ -56,7 +56,7 @@
     /// Connections to backend servers.
     pub upstream: upstream::Pool,
     /// Whether it serves, drains or stops.
-    pub life: drain::Life,
+    pub lifecycle: drain::Lifecycle,
     /// Counters.
     pub metrics: metrics::Metrics,
     protocol: PhantomData<P>,
@@ -71,38 +71,38 @@
             .retry_ratio(ratio)
             .retry_reserve(0.0)
             .charge_full(true)
-            .min_retry_after(SHORTEST_RETURN)
-            .group_retry_after(GROUP_RETURN);
-        let life = drain::Life::new(settings.serving.max_descriptors);
+            .min_retry_after(MIN_RETRY_AFTER)
+            .group_retry_after(GROUP_RETRY_AFTER);
+        let lifecycle = drain::Lifecycle::new(settings.serving.max_descriptors);
         Gateway {
             settings,
             routes: ArcSwapOption::empty(),
             mirror: Arc::default(),
             dispatcher: Arc::new(dispatch::Dispatcher::new(&options)),
             upstream: upstream::Pool::default(),
-            life,
+            lifecycle,
             metrics: metrics::Metrics::default(),
             protocol: PhantomData,
         }
     }
 
-    /// Takes a configuration if it is newer than the present one.
-    fn take_config(&self, config: &Arc<route::Config>) {
-        let present = self.routes.load().as_ref().map(|table| table.version);
-        if present.is_some_and(|version| version >= config.version) {
+    /// Takes a configuration if it is newer than the current one.
+    fn apply_config(&self, config: &Arc<route::Config>) {
+        let current = self.routes.load().as_ref().map(|table| table.version);
+        if current.is_some_and(|version| version >= config.version) {
             return;
         }
         let version = config.version;
         self.routes.store(Some(Arc::new(route::Table::new(config.as_ref().clone()))));
         self.metrics.config_version.set(version as i64);
-        log::info!("configuration version={version} before={}", present.unwrap_or(0));
+        log::info!("configuration version={version} before={}", current.unwrap_or(0));
     }
 
     /// Brings routes and backend servers up to the mirror.
     fn refresh(&self, catalog: &mut catalog::Catalog<P>) {
         catalog.update(&self.mirror);
         if let Some(config) = catalog.config() {
-            self.take_config(config);
+            self.apply_config(config);
         }
         let servers: Vec<(&fleet::Server, boot::Instant)> = catalog.servers_cold_until().collect();
         let drained = servers.iter().filter(|(server, _)| catalog.drained(server)).count();
@@ -127,16 +127,16 @@
         let serving = &self.settings.serving;
         self.dispatcher.set_reserve(serving.retry_slack * RETRY_MARGIN / gateways as f64);
         let usable = !servers.is_empty();
-        self.list(catalog, &servers, gateways);
+        self.update_servers(catalog, &servers, gateways);
         // Without backend servers it could only refuse.
         if usable && self.routes.load().is_some() {
-            self.life.handle(lifecycle::Event::Ready);
+            self.lifecycle.handle(lifecycle::Event::Ready);
         }
     }
 
     /// Service and group of each engine, as drivers have written them: for
     /// engines whose entries do not tell.
-    fn groups(&self) -> BTreeMap<SocketAddr, (Arc<str>, Arc<str>)> {
+    fn groups_by_member(&self) -> BTreeMap<SocketAddr, (Arc<str>, Arc<str>)> {
         let mut groups = BTreeMap::new();
         for (group, entry) in membership::entries(&self.mirror) {
             for member in entry.members {
@@ -146,7 +146,7 @@
         groups
     }
 
-    fn list(
+    fn update_servers(
         &self,
         catalog: &catalog::Catalog<P>,
         servers: &[(&fleet::Server, boot::Instant)],
@@ -155,8 +155,8 @@
         let routes = self.routes.load();
         let connections = |service: &str| {
             let service = routes.as_ref().and_then(|table| table.service(service).cloned());
-            let most = service.map_or(u32::MAX, |service| service.max_connections) as usize;
-            (most / gateways).max(1)
+            let total = service.map_or(u32::MAX, |service| service.max_connections) as usize;
+            (total / gateways).max(1)
         };
         let lockstep = |service: &str| {
             let service = routes.as_ref().and_then(|table| table.service(service));
@@ -168,7 +168,7 @@
             let service = routes.as_ref().and_then(|table| table.service(service));
             service.and_then(|service| service.health_path.clone())
         };
-        let groups = self.groups();
+        let groups = self.groups_by_member();
         let rank = |server: &fleet::Server| match &server.rank {
             Some(rank) => {
                 dispatch::Rank { group: rank.group.clone(), reported: Some(rank.clone()) }
@@ -213,7 +213,7 @@
         }
         self.dispatcher.list(servers.iter().map(listing).collect());
         let runs: BTreeSet<fleet::Run> = servers.iter().map(|(server, _)| server.run()).collect();
-        self.upstream.keep(|run| runs.contains(run));
+        self.upstream.retain(|run| runs.contains(run));
     }
 }
 
--- a/gateway/src/stream.rs
+++ b/gateway/src/stream.rs
@@ -20,12 +20,12 @@
 use crate::body::{Broken, Part};
 use crate::drain;
 use crate::event::Splitter;
-use crate::flow::Begun;
+use crate::flow::Stream;
 use crate::request::Request;
 use crate::state::{Gateway, Target};
 
 /// Parts of an answer that may wait for a slow client.
-pub const QUEUE: usize = 8;
+pub const QUEUE_LEN: usize = 8;
 
 /// A stream on its way.
 pub struct Relay<P> {
@@ -38,7 +38,7 @@
     /// Towards the client.
     pub sender: mpsc::Sender<Part>,
     /// Its share in the requests in flight.
-    pub _flight: drain::InFlight<P>,
+    pub _in_flight: drain::InFlight<P>,
     /// What the client has seen of its pace.
     pub timing: Timing,
 }
@@ -57,9 +57,9 @@
 
 impl Timing {
     /// An event of a request that came then.
-    fn event(&mut self, came: boot::Instant) {
+    fn record(&mut self, received: boot::Instant) {
         let now = boot::Instant::now();
-        self.first.get_or_insert(now.saturating_duration_since(came));
+        self.first.get_or_insert(now.saturating_duration_since(received));
         let pause = self.last.map_or(Duration::ZERO, |last| now.saturating_duration_since(last));
         self.pause = self.pause.max(pause);
         self.last = Some(now);
@@ -80,100 +80,101 @@
     /// The backend server broke off.
     Broken,
     /// The client left.
-    Left,
+    Disconnected,
     /// Time is up.
-    Late,
+    TimedOut,
     /// Others found that servers end under it.
     Refused,
 }
 
 impl<P: Protocol> Relay<P> {
     /// Hands the stream on until it ends.
-    pub async fn run(mut self, begun: Begun) {
+    pub async fn run(mut self, stream: Stream) {
         let mut splitter = Splitter::default();
-        let mut begun = Some(begun);
-        while let Some(part) = begun.take() {
+        let mut stream = Some(stream);
+        while let Some(part) = stream.take() {
             let (server, target, status) = (part.server, part.target.clone(), part.head.status);
-            match self.pass(part, &mut splitter).await {
+            match self.forward_events(part, &mut splitter).await {
                 End::Whole => {
                     self.permit.end(balancer::End::Answered);
-                    self.gateway.came_to_its_end(&self.request, status);
+                    self.gateway.clear_suspicion(&self.request, status);
                     return self.done("answered", "whole");
                 }
-                End::Left => {
+                End::Disconnected => {
                     self.permit.end(balancer::End::Abandoned);
                     return self.done("client-left", "client-left");
                 }
-                End::Late => return self.break_off("deadline").await,
+                End::TimedOut => return self.abort("deadline").await,
                 End::Broken => {
                     let answer_begun = splitter.last_id().is_some();
-                    let broke = self.gateway.broke(&self.request, server, &target, answer_begun);
+                    let broke =
+                        self.gateway.classify_break(&self.request, server, &target, answer_begun);
                     let end = broke.await;
-                    begun = self.resume(&mut splitter, end).await;
+                    stream = self.resume(&mut splitter, end).await;
                 }
                 End::Refused => {
                     self.gateway.abandon(&self.request, &target);
-                    return self.break_off("ends-servers").await;
+                    return self.abort("ends-servers").await;
                 }
             }
         }
-        self.break_off("backend-server-broke-off").await;
+        self.abort("backend-server-broke-off").await;
     }
 
     /// Hands an answer that is no stream of events on as it comes.
-    pub async fn copy(mut self, begun: Begun, first: Bytes) {
-        let (server, target, status) = (begun.server, begun.target.clone(), begun.head.status);
-        let end = match self.hand_on(first).await {
+    pub async fn run_long(mut self, stream: Stream, first: Bytes) {
+        let (server, target, status) = (stream.server, stream.target.clone(), stream.head.status);
+        let end = match self.send(first).await {
             Some(end) => end,
-            None => self.copy_rest(begun).await,
+            None => self.forward_rest(stream).await,
         };
         match end {
             End::Whole => {
                 self.permit.end(balancer::End::Answered);
-                self.gateway.came_to_its_end(&self.request, status);
+                self.gateway.clear_suspicion(&self.request, status);
                 self.done("answered", "whole");
             }
-            End::Left => {
+            End::Disconnected => {
                 self.permit.end(balancer::End::Abandoned);
                 self.done("client-left", "client-left");
             }
-            End::Late => self.break_off("deadline").await,
+            End::TimedOut => self.abort("deadline").await,
             End::Broken => {
-                let end = self.gateway.broke(&self.request, server, &target, true).await;
+                let end = self.gateway.classify_break(&self.request, server, &target, true).await;
                 if end == balancer::End::ServerEnded {
                     self.permit.end(end);
                 }
-                self.break_off("backend-server-broke-off").await;
+                self.abort("backend-server-broke-off").await;
             }
             End::Refused => {
                 self.gateway.abandon(&self.request, &target);
-                self.break_off("ends-servers").await;
+                self.abort("ends-servers").await;
             }
         }
     }
 
-    async fn copy_rest(&self, mut begun: Begun) -> End {
+    async fn forward_rest(&self, mut stream: Stream) -> End {
         loop {
             let frame = tokio::select! {
                 biased;
-                () = self.sender.closed() => return End::Left,
-                frame = tokio::time::timeout_at(self.request.due.timer(), begun.body.frame()) => frame,
+                () = self.sender.closed() => return End::Disconnected,
+                frame = tokio::time::timeout_at(self.request.due.timer(), stream.body.frame()) => frame,
             };
             let data = match frame {
-                Err(_) => return End::Late,
+                Err(_) => return End::TimedOut,
                 Ok(None) => return End::Whole,
                 Ok(Some(Err(_))) => return End::Broken,
                 Ok(Some(Ok(frame))) => frame.into_data().unwrap_or_default(),
             };
-            if let Some(end) = self.hand_on(data).await {
+            if let Some(end) = self.send(data).await {
                 return end;
             }
         }
     }
 
     /// Hands one backend server's part of the stream on.
-    async fn pass(&mut self, begun: Begun, splitter: &mut Splitter) -> End {
-        let Begun { mut body, answer, connection, target, .. } = begun;
+    async fn forward_events(&mut self, stream: Stream, splitter: &mut Splitter) -> End {
+        let Stream { mut body, answer, connection, target, .. } = stream;
         // The first event's wait is no pause.
         let mut last: Option<boot::Instant> = None;
         let gateway = self.gateway.clone();
@@ -182,12 +183,12 @@
         loop {
             let frame = tokio::select! {
                 biased;
-                () = self.sender.closed() => return End::Left,
+                () = self.sender.closed() => return End::Disconnected,
                 _ = &mut refused => return End::Refused,
                 frame = tokio::time::timeout_at(self.request.due.timer(), body.frame()) => frame,
             };
             let data = match frame {
-                Err(_) => return End::Late,
+                Err(_) => return End::TimedOut,
                 Ok(None) => break,
                 Ok(Some(Err(_))) => return End::Broken,
                 Ok(Some(Ok(frame))) => frame.into_data().unwrap_or_default(),
@@ -195,13 +196,13 @@
             if let Some(events) = splitter.push(&data) {
                 self.observe(last.map_or(Duration::ZERO, |last: boot::Instant| last.elapsed()));
                 last = Some(boot::Instant::now());
-                if let Some(end) = self.hand_on(events).await {
+                if let Some(end) = self.send(events).await {
                     return end;
                 }
             }
         }
         if let Some(rest) = splitter.finish()
-            && let Some(end) = self.hand_on(rest).await
+            && let Some(end) = self.send(rest).await
         {
             return end;
         }
@@ -218,7 +219,7 @@
 
     /// Tells the dispatcher how long the stream has paused.
     fn observe(&mut self, pause: Duration) {
-        self.timing.event(self.request.came);
+        self.timing.record(self.request.received);
         let wanted = self.request.grant.route.pause;
         if let Some(wanted) = wanted.filter(|wanted| !wanted.is_zero()) {
             self.permit.event(pause, wanted);
@@ -226,18 +227,18 @@
     }
 
     /// Hands bytes to the client; returns an end if that ends the stream.
-    async fn hand_on(&self, bytes: Bytes) -> Option<End> {
+    async fn send(&self, bytes: Bytes) -> Option<End> {
         let sent = tokio::time::timeout_at(self.request.due.timer(), self.sender.send(Ok(bytes)));
         match sent.await {
             Ok(Ok(())) => None,
-            Ok(Err(_)) => Some(End::Left),
-            Err(_) => Some(End::Late),
+            Ok(Err(_)) => Some(End::Disconnected),
+            Err(_) => Some(End::TimedOut),
         }
     }
 
     /// Finds another backend server that goes on behind the last event.
     /// The part of before ended as `end` says.
-    async fn resume(&mut self, splitter: &mut Splitter, end: balancer::End) -> Option<Begun> {
+    async fn resume(&mut self, splitter: &mut Splitter, end: balancer::End) -> Option<Stream> {
         splitter.discard();
         let after = splitter.last_id().cloned();
         let mut end = end;
@@ -272,12 +273,12 @@
                 sent = self.gateway.resume(&self.request, &attempt, after.clone()) => sent,
             };
             match sent {
-                Ok(begun) => {
+                Ok(stream) => {
                     self.gateway.metrics.resumed.inc();
-                    return Some(begun);
+                    return Some(stream);
                 }
                 Err((failed, cause)) => {
-                    self.gateway.note(&self.request, &attempt, &cause);
+                    self.gateway.log_failure(&self.request, &attempt, &cause);
                     end = failed;
                 }
             }
@@ -285,7 +286,7 @@
     }
 
     /// Breaks the answer off, so that the client does not take it to be whole.
-    async fn break_off(self, reason: &'static str) {
+    async fn abort(self, reason: &'static str) {
         self.done("broken-off", reason);
         // The client may have left meanwhile.
         self.sender.send(Err(Broken)).await.unwrap_or_default();
--- a/gateway/src/upstream.rs
+++ b/gateway/src/upstream.rs
@@ -28,18 +28,18 @@
 /// another backend server answers.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 /// Longest time that sent bytes may stay unacknowledged.
-const UNACKNOWLEDGED: Duration = Duration::from_secs(2);
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(2);
 /// How long nothing may come over a connection before it is probed, and the time
 /// between two probes; the system counts both in whole seconds. A probe that is
-/// not acknowledged ends the connection as sent bytes do ([`UNACKNOWLEDGED`]).
-const PROBE_TIME: Duration = Duration::from_secs(1);
+/// not acknowledged ends the connection as sent bytes do ([`UNACKNOWLEDGED_TIMEOUT`]).
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 /// Time for which a kept connection may be silent before the others that are
 /// kept to the same backend server are not used again: what silenced one has
 /// most likely silenced them all, and each would cost a request. Heads come
 /// within this time where the backend server serves at all.
-const SILENT: Duration = Duration::from_secs(1);
+const SILENCE_LIMIT: Duration = Duration::from_secs(1);
 /// How long an idle connection is kept where the backend server says nothing.
-const IDLE_TIME: Duration = Duration::from_secs(3);
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(3);
 /// What is taken off the time that a backend server keeps idle connections, so
 /// that it does not close one while a request is on its way.
 const IDLE_MARGIN: Duration = Duration::from_millis(700);
@@ -106,14 +106,14 @@
         fresh: bool,
         wanted: impl Fn() -> bool,
     ) -> Result<Reply, Error> {
-        while let Some(mut sender) = self.take(&target.run).filter(|_| !fresh) {
+        while let Some(mut sender) = self.take_idle(&target.run).filter(|_| !fresh) {
             if !wanted() {
                 return Err(Error::Withheld);
             }
-            let mut doubt = Doubt::new(self, &target.run);
+            let mut guard = Guard::new(self, &target.run);
             let answer = sender.try_send_request(request).await;
-            doubt.answered = answer.is_ok();
-            drop(doubt);
+            guard.answered = answer.is_ok();
+            drop(guard);
             match answer {
                 Ok(response) => return Ok(reply(response, sender, target)),
                 Err(mut error) => match error.take_message() {
@@ -137,7 +137,7 @@
         }
     }
 
-    fn take(&self, run: &fleet::Run) -> Option<Sender> {
+    fn take_idle(&self, run: &fleet::Run) -> Option<Sender> {
         let mut idle = self.lock();
         let kept = idle.get_mut(run)?;
         while let Some(idle) = kept.pop() {
@@ -151,7 +151,7 @@
     /// Keeps a connection whose answer was whole, for as long as the backend
     /// server keeps it.
     pub fn put(&self, target: &Target, connection: Connection, keep_alive: Option<Duration>) {
-        let time = keep_alive.map_or(IDLE_TIME, |time| time.saturating_sub(IDLE_MARGIN));
+        let time = keep_alive.map_or(DEFAULT_IDLE_TIMEOUT, |time| time.saturating_sub(IDLE_MARGIN));
         let mut idle = self.lock();
         let kept = idle.entry(connection.run.clone()).or_default();
         let now = boot::Instant::now();
@@ -162,7 +162,7 @@
     }
 
     /// Closes the kept connections to backend servers that are not wanted.
-    pub fn keep(&self, wanted: impl Fn(&fleet::Run) -> bool) {
+    pub fn retain(&self, wanted: impl Fn(&fleet::Run) -> bool) {
         self.lock().retain(|run, _| wanted(run));
     }
 }
@@ -170,23 +170,23 @@
 /// A call on a kept connection, which may have fallen silent. Dropping it after
 /// a long wait without an answer, also where the wait is given up, closes the
 /// other connections that are kept to the backend server.
-struct Doubt<'a> {
+struct Guard<'a> {
     pool: &'a Pool,
     run: &'a fleet::Run,
     since: boot::Instant,
     answered: bool,
 }
 
-impl<'a> Doubt<'a> {
-    fn new(pool: &'a Pool, run: &'a fleet::Run) -> Doubt<'a> {
-        Doubt { pool, run, since: boot::Instant::now(), answered: false }
+impl<'a> Guard<'a> {
+    fn new(pool: &'a Pool, run: &'a fleet::Run) -> Guard<'a> {
+        Guard { pool, run, since: boot::Instant::now(), answered: false }
     }
 }
 
-impl Drop for Doubt<'_> {
+impl Drop for Guard<'_> {
     fn drop(&mut self) {
         let silent = self.since.elapsed();
-        if self.answered || silent < SILENT {
+        if self.answered || silent < SILENCE_LIMIT {
             return;
         }
         if let Some(kept) = self.pool.lock().remove(self.run).filter(|kept| !kept.is_empty()) {
@@ -207,38 +207,40 @@
 const HEALTH_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Asks a backend server whether it serves; returns the head of the answer. A new
-/// connection reaches the run that has the address now.
+/// connection can_connect the run that has the address now.
 ///
 /// # Errors
 ///
 /// An [`Error`].
 pub async fn check_health(address: SocketAddr, path: &str) -> Result<http::response::Parts, Error> {
-    let fault = |error: &dyn std::error::Error| Error::NoAnswer(error.to_string());
+    let to_error = |error: &dyn std::error::Error| Error::NoAnswer(error.to_string());
     let request = http::Request::get(path).header(http::header::HOST, address.to_string());
-    let request = request.body(Full::default()).map_err(|error| fault(&error))?;
+    let request = request.body(Full::default()).map_err(|error| to_error(&error))?;
     let mut sender = connect(address).await?;
     let answer = tokio::time::timeout(HEALTH_TIMEOUT, sender.send_request(request)).await;
-    let answer = answer.map_err(|error| fault(&error))?.map_err(|error| fault(&error))?;
+    let answer = answer.map_err(|error| to_error(&error))?.map_err(|error| to_error(&error))?;
     Ok(answer.into_parts().0)
 }
 
 /// Whether a connection to a backend server comes about. Nothing is sent on it.
-pub async fn reaches(address: SocketAddr) -> bool {
+pub async fn can_connect(address: SocketAddr) -> bool {
     let connected = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
     matches!(connected, Ok(Ok(_)))
 }
 
 async fn connect(address: SocketAddr) -> Result<Sender, Error> {
-    let fault = |error: &dyn std::error::Error| Error::NotSent(error.to_string());
+    let to_error = |error: &dyn std::error::Error| Error::NotSent(error.to_string());
     let stream = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
-    let stream = stream.map_err(|error| fault(&error))?.map_err(|error| fault(&error))?;
-    stream.set_nodelay(true).map_err(|error| fault(&error))?;
+    let stream = stream.map_err(|error| to_error(&error))?.map_err(|error| to_error(&error))?;
+    stream.set_nodelay(true).map_err(|error| to_error(&error))?;
     let socket = socket2::SockRef::from(&stream);
-    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED)).map_err(|error| fault(&error))?;
-    let probes = socket2::TcpKeepalive::new().with_time(PROBE_TIME).with_interval(PROBE_TIME);
-    socket.set_tcp_keepalive(&probes).map_err(|error| fault(&error))?;
+    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT)).map_err(|error| to_error(&error))?;
+    let probes = socket2::TcpKeepalive::new()
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL);
+    socket.set_tcp_keepalive(&probes).map_err(|error| to_error(&error))?;
     let handshake = http1::handshake(TokioIo::new(stream)).await;
-    let (sender, connection) = handshake.map_err(|error| fault(&error))?;
+    let (sender, connection) = handshake.map_err(|error| to_error(&error))?;
     tokio::spawn(async move {
         if let Err(error) = connection.await {
             log::debug!("connection to backend server ended error=\"{error}\"");
