--- a/gateway/src/answer.rs
+++ b/gateway/src/answer.rs
@@ -1,4 +1,4 @@
-//! Answers towards clients: a backend server's, buffer, or one of our own.
+//! Responses to clients: complete ones from a backend server, or local ones of the gateway.
 
 use std::time::Duration;
 
@@ -11,49 +11,48 @@
 
 use crate::body::Body;
 
-/// Longest answer that is held until it is buffer; a longer one is passed on as
-/// it comes.
+/// Maximum size of a response that is buffered until it is complete. A longer one is relayed as it
+/// arrives.
 pub const MAX_BUFFERED: usize = 256 * 1024;
-/// When to come back where an attempt may have run and a client that may ask
-/// again is not kept waiting for anything.
+/// Retry delay where an attempt may have run. A client that may retry has nothing to wait for.
 const IMMEDIATE_RETRY: Duration = Duration::ZERO;
 
-/// An answer to a client.
+/// A response to a client.
 pub type Response = http::Response<Body>;
 
-/// A backend server's answer, buffer.
+/// A complete response of a backend server.
 #[derive(Debug)]
 pub struct Whole {
-    /// Its head as it came.
+    /// Unchanged head of the response.
     pub head: http::response::Parts,
-    /// Its body.
+    /// Body of the response.
     pub body: Bytes,
 }
 
-/// Why an answer was not read buffer.
+/// Why a response could not be read completely.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// It broke off.
+    /// The connection broke.
     #[error("broken-off")]
     Broken,
-    /// It did not end in time.
+    /// The response was not complete at the deadline.
     #[error("deadline")]
     TimedOut,
 }
 
-/// What came of reading an answer.
+/// Result of reading a response.
 pub enum Read {
-    /// It is whole.
+    /// The complete body.
     Whole(Bytes),
-    /// It is too long to be held: what has come, and the rest.
+    /// A body that is too long to be buffered: the bytes received so far, and the remainder.
     Long(Bytes, Incoming),
 }
 
-/// Reads an answer's body, up to [`MAX_BUFFERED`].
+/// Reads a response's body, up to [`MAX_BUFFERED`].
 ///
 /// # Errors
 ///
-/// A [`Error`].
+/// Returns an [`Error`] if the connection breaks or the deadline passes.
 pub async fn read(mut body: Incoming, due: boot::Instant) -> Result<Read, Error> {
     let mut buffer = BytesMut::new();
     loop {
@@ -73,7 +72,7 @@
     }
 }
 
-/// A backend server's answer towards the client.
+/// Returns a backend server's response in the form for the client.
 pub fn relay<P: Protocol>(head: &http::response::Parts, body: Body) -> Response {
     let mut response = http::Response::new(body);
     *response.status_mut() = head.status;
@@ -81,7 +80,7 @@
     response
 }
 
-/// An answer of our own.
+/// Returns a local response without a body.
 pub fn local<P: Protocol>(
     status: http::StatusCode,
     id: Option<&str>,
@@ -93,7 +92,7 @@
     response
 }
 
-/// The final answer of a request that was given up.
+/// Returns the final response of a request that the balancer rejected.
 pub fn refusal<P: Protocol>(refusal: &balancer::Refusal, id: &str) -> Response {
     match refusal.outcome {
         balancer::Outcome::NotRun => {
--- a/gateway/src/body.rs
+++ b/gateway/src/body.rs
@@ -1,4 +1,4 @@
-//! Body of an answer to a client.
+//! Bodies of responses to clients.
 
 use std::convert::Infallible;
 use std::pin::Pin;
@@ -9,38 +9,38 @@
 use http_body_util::Full;
 use tokio::sync::mpsc;
 
-/// The answer ended early; the client must not take it to be whole.
+/// The response ended early, and the client must not take it to be complete.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("the answer broke off")]
 pub struct Broken;
 
-/// Part of a streamed answer.
+/// Part of a streamed response.
 pub type Part = Result<Bytes, Broken>;
 
-/// The body.
+/// Body of a response.
 pub enum Body {
-    /// All of it is there.
+    /// The complete body.
     Whole(Full<Bytes>),
-    /// It comes part by part. The channel's end is the end of the answer.
+    /// A body that is received in parts. The end of the channel is the end of the response.
     Stream(mpsc::Receiver<Part>),
 }
 
 impl Body {
-    /// A body that is there.
+    /// Creates a body from all of its bytes.
     pub fn whole(bytes: Bytes) -> Body {
         Body::Whole(Full::new(bytes))
     }
 }
 
-/// A body whose error is held back until the connection has been asked to write: an error
-/// ends the connection with whatever it has not written yet, which can be the answer's head.
+/// A body whose error is deferred until the connection has been asked to write. An error ends the
+/// connection and drops everything that is not written yet, which can include the response's head.
 pub struct Flushed<B: http_body::Body> {
     body: B,
     error: Option<B::Error>,
 }
 
 impl<B: http_body::Body> Flushed<B> {
-    /// The body with its error held back.
+    /// Wraps a body to defer its error.
     pub fn new(body: B) -> Flushed<B> {
         Flushed { body, error: None }
     }
--- a/gateway/src/event.rs
+++ b/gateway/src/event.rs
@@ -1,15 +1,15 @@
-//! Cuts a series of events into whole ones.
+//! Splits a byte stream into complete server-sent events.
 
 use std::sync::Arc;
 
 use bytes::{Bytes, BytesMut};
 
-/// Longest event that is put together; a longer one is passed on in pieces
-/// and cannot be resumed.
+/// Maximum size of an event that is reassembled. A longer event is passed on in pieces, and its
+/// stream cannot be resumed within it.
 const MAX_EVENT_BYTES: usize = 64 * 1024;
 
-/// Puts events together. What it hands out ends with an event, so that another
-/// backend server can go on behind it.
+/// Reassembles events. Its output ends at an event boundary, so that another backend server can
+/// resume the stream from there.
 #[derive(Debug, Default)]
 pub struct Splitter {
     buffer: BytesMut,
@@ -17,7 +17,7 @@
 }
 
 impl Splitter {
-    /// Takes bytes; returns the whole events that they complete.
+    /// Adds bytes, and returns the events that they complete.
     pub fn push(&mut self, data: &Bytes) -> Option<Bytes> {
         self.buffer.extend_from_slice(data);
         let end = match last_blank_line(&self.buffer) {
@@ -32,24 +32,24 @@
         Some(whole)
     }
 
-    /// Id of the last whole event.
+    /// Returns the id of the last complete event.
     pub fn last_id(&self) -> Option<&Arc<str>> {
         self.last_id.as_ref()
     }
 
-    /// What is left when the stream has ended.
+    /// Returns the remaining bytes when the stream has ended.
     pub fn finish(&mut self) -> Option<Bytes> {
         let buffer = self.buffer.split().freeze();
         (!buffer.is_empty()).then_some(buffer)
     }
 
-    /// Drops the part of an event that was broken off.
+    /// Discards the incomplete event of a broken stream.
     pub fn discard(&mut self) {
         self.buffer.clear();
     }
 }
 
-/// End of the last blank line.
+/// Returns the end of the last blank line.
 fn last_blank_line(bytes: &[u8]) -> Option<usize> {
     let lf = find_last(bytes, b"\n\n").map(|at| at + 2);
     let crlf = find_last(bytes, b"\r\n\r\n").map(|at| at + 4);
@@ -60,7 +60,7 @@
     bytes.windows(pattern.len()).rposition(|window| window == pattern)
 }
 
-/// The id that the last `id:` line gives.
+/// Returns the id in the last `id:` line.
 fn last_id(events: &[u8]) -> Option<Arc<str>> {
     let mut lines = events.rsplit(|byte| *byte == b'\n');
     let line = lines.find_map(|line| line.strip_prefix(b"id:"))?;
--- a/gateway/src/exchange.rs
+++ b/gateway/src/exchange.rs
@@ -1,14 +1,14 @@
-//! The request that a client's connection is answering.
+//! The request that a client's connection is currently answering.
 //!
-//! A connection that ends before it has written an answer leaves its client without one.
-//! That is logged with the request's id and the reason, whichever way the connection ends.
+//! If a connection ends before its response is written completely, the client has no answer. This
+//! is logged with the request's id and the reason, however the connection ends.
 
 use std::fmt;
 use std::sync::{Arc, Mutex, MutexGuard};
 
 use loftcove_clock as boot;
 
-/// The last exchange of a connection, shared by the connection and its requests.
+/// Last exchange of a connection, shared by the connection and its requests.
 #[derive(Debug, Clone, Default)]
 pub struct Exchange {
     state: Arc<Mutex<State>>,
@@ -17,32 +17,32 @@
 #[derive(Debug, Default)]
 struct State {
     stage: Stage,
-    /// Id of the request, once its head has been understood.
+    /// Id of the request, once its head has been parsed.
     id: Option<Arc<str>>,
-    /// When the stage began.
+    /// Start time of the stage.
     since: Option<boot::Instant>,
     requests: u64,
 }
 
-/// How far an exchange has come.
+/// Progress of an exchange.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 enum Stage {
-    /// Nothing is owed.
+    /// No response is outstanding.
     #[default]
     Idle,
-    /// A request has come and has no answer yet.
+    /// A request has been received, and its response has not begun.
     Handling,
-    /// The connection has the head of the answer, and may not have written all of it.
+    /// The connection has the head of the response, and may not have written all of the response.
     Answering,
 }
 
 impl Exchange {
     fn lock(&self) -> MutexGuard<'_, State> {
-        // Each change is a plain assignment: a panic elsewhere leaves nothing half done.
+        // Each update is a plain assignment, so a panic elsewhere leaves no inconsistent state.
         self.state.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
-    /// The head of a request has come.
+    /// Records that the head of a request has been received.
     pub fn begin(&self) {
         let mut state = self.lock();
         let requests = state.requests + 1;
@@ -50,24 +50,24 @@
             State { stage: Stage::Handling, id: None, since: Some(boot::Instant::now()), requests };
     }
 
-    /// The request's id is known.
+    /// Records the request's id.
     pub fn set_id(&self, id: &Arc<str>) {
         self.lock().id = Some(id.clone());
     }
 
-    /// The connection has been handed the answer's head.
+    /// Records that the connection has been given the response's head.
     pub fn answer(&self) {
         let mut state = self.lock();
         state.stage = Stage::Answering;
         state.since = Some(boot::Instant::now());
     }
 
-    /// The connection has ended and everything was written.
+    /// Records that the connection has ended with everything written.
     fn end(&self) {
         self.lock().stage = Stage::Idle;
     }
 
-    /// Logs an answer that is still owed as the connection ends; once.
+    /// Logs the outstanding response, if any, when the connection ends. Further calls do nothing.
     pub fn abandon(&self, reason: &dyn fmt::Display) {
         let mut state = self.lock();
         let stage = std::mem::take(&mut state.stage);
@@ -78,26 +78,27 @@
         };
         let ms = state.since.map_or(0, |since| since.elapsed().as_millis());
         log::info!(
-            "connection ended without a whole answer request={} stage={at} ms={ms} requests={} reason=\"{reason}\"",
+            "connection ended without a whole answer request={} stage={at} ms={ms} \
+             requests={} reason=\"{reason}\"",
             state.id.as_deref().unwrap_or("-"),
             state.requests
         );
     }
 }
 
-/// Reports what a connection owes when its task ends, also by a panic.
+/// Logs the outstanding response when the connection's task ends, also by a panic.
 pub struct Guard(pub Exchange);
 
 impl Guard {
-    /// The connection ended as the library says.
+    /// Records how the connection ended, as reported by the HTTP library.
     pub fn finish(&self, ended: Result<(), hyper::Error>) {
         let exchange = &self.0;
         match ended {
-            // A request whose client has left is dropped without an error.
+            // The library drops a request without an error if its client has disconnected.
             Ok(()) if exchange.lock().stage == Stage::Handling => exchange.abandon(&"client left"),
             Ok(()) => exchange.end(),
             Err(error) if error.is_timeout() && exchange.lock().stage == Stage::Answering => {
-                // It was idle after its last answer.
+                // The connection timed out while idle after its last response.
                 exchange.end();
             }
             Err(error) => {
--- a/gateway/src/flow.rs
+++ b/gateway/src/flow.rs
@@ -1,4 +1,4 @@
-//! Takes a request from attempt to attempt until it has its final answer.
+//! Makes attempts for a request until it has a final response.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -17,10 +17,10 @@
 use crate::state::{Gateway, Target};
 use crate::{drain, exchange, request, stream, upstream};
 
-/// Precedences that backend servers tell apart.
+/// Lowest urgency that backend servers distinguish. 0 is the most urgent.
 const MAX_PRIORITY: u32 = 9;
 
-/// Answers one request.
+/// Handles one request and returns the response to its client.
 pub async fn handle<P: Protocol>(
     gateway: Arc<Gateway<P>>,
     exchange: exchange::Exchange,
@@ -71,7 +71,7 @@
     let refused = |refusal| (refusal, Some(id.clone()));
     let routes = gateway.routes.load_full().ok_or_else(|| refused(Refusal::NoConfig))?;
     let request = request::read(head, body, meta, &routes).await.map_err(refused)?;
-    // A request that is overdue by then is answered by the dispatcher.
+    // If this runs into the deadline, the dispatcher rejects the request.
     let settled = gateway.mirror.ends.settled(request.digest);
     let _in_time = tokio::time::timeout_at(request.due.timer(), settled).await;
     if let poison::Standing::Refused(ends) = gateway.mirror.ends.standing(request.digest) {
@@ -83,41 +83,41 @@
     Ok(Flow { gateway: gateway.clone(), request, in_flight })
 }
 
-/// A request on its way.
+/// A request in progress.
 struct Flow<P> {
     gateway: Arc<Gateway<P>>,
     request: Arc<Request>,
     in_flight: drain::InFlight<P>,
 }
 
-/// What an attempt received to.
+/// Result of an attempt.
 enum Outcome {
-    /// An answer to hand on; the attempt is over.
+    /// A complete response for the client. The attempt is over.
     Whole(answer::Whole),
-    /// The head of a stream's answer.
+    /// The head of an event stream's response.
     Stream(Box<Stream>),
-    /// An answer that is too long to be held: its beginning, and the rest.
+    /// A response that is too long to be buffered: its head and remaining body, and its first part.
     Long(Box<Stream>, bytes::Bytes),
-    /// The connection broke before the answer was whole.
+    /// The connection broke before the response was complete.
     Broken(String),
-    /// It failed; the balancer says what follows. A failure that a backend
-    /// server answered itself is kept, in case nothing follows.
+    /// The attempt failed, and the balancer decides what follows. An error response from the
+    /// backend server itself is included, for the client in case no further attempt is made.
     Failed(balancer::End, Option<answer::Whole>, String),
 }
 
-/// A stream's answer whose head has come.
+/// A response whose head has been received and whose body is still arriving.
 pub struct Stream {
-    /// Its head.
+    /// Head of the response.
     pub head: http::response::Parts,
-    /// Its events.
+    /// Remaining body.
     pub body: Incoming,
-    /// What the head says.
+    /// What the protocol reads from the head.
     pub answer: Answer,
-    /// The connection that it comes over.
+    /// Connection that the response arrives on.
     pub connection: upstream::Connection,
-    /// Where it comes from.
+    /// Backend server that sends the response.
     pub target: Target,
-    /// The same, as the dispatcher names it.
+    /// The dispatcher's identifier of the same server.
     pub server: entity::Server,
 }
 
@@ -127,7 +127,7 @@
         let mut permit = self.gateway.dispatcher.arrive(&arrival(&request));
         let mut failure: Option<answer::Whole> = None;
         let gateway = self.gateway.clone();
-        // Others may find out what it does while it waits or is being sent.
+        // While the request waits or is being sent, others may find that it ends servers.
         let refused = gateway.mirror.ends.refused(request.digest);
         tokio::pin!(refused);
         loop {
@@ -138,8 +138,8 @@
             };
             let next = match next {
                 Ok(Some(next)) => next,
-                // The balancer gives up a request at its deadline itself, so
-                // this is only reached where the two clocks cross.
+                // The balancer itself rejects a request at its deadline, so this is only reached if
+                // this timer fires before the balancer's does.
                 Ok(None) | Err(_) => return self.timed_out(),
             };
             let attempt = match next {
@@ -184,8 +184,8 @@
         answer::relay::<P>(&whole.head, Body::whole(whole.body))
     }
 
-    /// The final answer of a request that is given up: a failure that a
-    /// backend server answered goes before one of our own.
+    /// Returns the final response of a rejected request. An error response from a backend server
+    /// takes precedence over a local one.
     fn refuse(self, refusal: &balancer::Refusal, failure: Option<answer::Whole>) -> Response {
         if let Some(whole) = failure {
             return self.answered(whole);
@@ -198,8 +198,8 @@
         answer::refusal::<P>(refusal, &self.request.meta.id)
     }
 
-    /// Given up since backend servers ended under it. Dropping its permit and its
-    /// connection takes it off the one that may be running it.
+    /// Rejects the request because backend servers ended under it. Dropping its permit and its
+    /// connection cancels it on the server that may be running it.
     fn reject_poison(self) -> Response {
         let refusal = Refusal::EndsServers;
         self.done("refused", &refusal.to_string());
@@ -286,8 +286,9 @@
         );
     }
 
-    /// An answer received to its end: the request ended no server, unless the server
-    /// failed before it did what was asked.
+    /// Clears the suspicion against a request whose response is complete: it did not end its
+    /// server. An error status proves nothing, because the server may have failed before it did
+    /// what the request asked for.
     pub(crate) fn clear_suspicion(&self, request: &Request, status: http::StatusCode) {
         if status.is_success() {
             self.mirror.ends.clear(request.digest);
@@ -311,7 +312,7 @@
         );
     }
 
-    /// Sends an attempt and waits for its answer, or for the head of a stream.
+    /// Sends an attempt and waits for its response, or for the head of a stream.
     async fn send(
         &self,
         request: &Request,
@@ -328,7 +329,8 @@
             );
         }
         log::info!(
-            "attempt request={} digest={} number={} server={} reason={} score={:.2} open={} passed_over={} config={} left_ms={}",
+            "attempt request={} digest={} number={} server={} reason={} score={:.2} \
+             open={} passed_over={} config={} left_ms={}",
             request.meta.id,
             request.digest,
             attempt.number,
@@ -409,7 +411,7 @@
                     self.upstream.put(&target, reply.connection, answer.keep_alive);
                 }
                 let whole = answer::Whole { head, body };
-                // Another backend server may do better.
+                // Another backend server may succeed.
                 if whole.head.status.is_server_error() && request.grant.route.kind.repeatable() {
                     let cause = format!("status {}", whole.head.status);
                     return Outcome::Failed(MAY_HAVE_RUN, Some(whole), cause);
@@ -428,7 +430,7 @@
         }
     }
 
-    /// Sends an attempt that goes on with a stream behind an event.
+    /// Sends an attempt that resumes a stream after the event with the given id.
     pub(crate) async fn resume(
         &self,
         request: &Request,
@@ -450,12 +452,12 @@
     }
 }
 
-/// Ids with commas between them.
+/// Joins ids with commas.
 fn join(ids: &[Arc<str>]) -> String {
     if ids.is_empty() { "-".to_owned() } else { ids.join(",") }
 }
 
-/// End of an attempt that may have run, of whose answer the client saw nothing.
+/// End of an attempt that may have run, and of whose response the client has received nothing.
 const MAY_HAVE_RUN: balancer::End = balancer::End::MayHaveRun { answer_begun: false };
 
 fn may_have_run(cause: String) -> Outcome {
@@ -482,7 +484,7 @@
     message
 }
 
-/// Path and query alone, as a request to a server has them.
+/// Returns path and query alone, which is the form of a request to an origin server.
 fn origin_form(uri: &http::Uri) -> http::Uri {
     let mut parts = http::uri::Parts::default();
     parts.path_and_query = uri.path_and_query().cloned();
--- a/gateway/src/request.rs
+++ b/gateway/src/request.rs
@@ -10,53 +10,52 @@
 use loftcove_decision::{poison, route};
 use loftcove_interface::protocol;
 
-/// Longest time that a request is worked on where neither the client nor the
-/// route says.
+/// Time limit of a request whose client gives none. The route's limit applies too.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(60);
-/// Taken off the time that the client and the route give, so that a last
-/// answer arrives in time.
+/// Subtracted from the time limit of the client and the route, so that a response at the deadline
+/// still arrives in time.
 const DEADLINE_MARGIN: Duration = Duration::from_millis(20);
 
-/// Why a request is answered without any attempt.
+/// Why a request is rejected without an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum Refusal {
-    /// No configuration is known yet.
+    /// No configuration has been received yet.
     #[error("no-configuration")]
     NoConfig,
     /// The process is about to stop.
     #[error("stopping")]
     Stopping,
-    /// It has no route, or may not use it.
+    /// The request has no route, or its key does not permit the route.
     #[error("{0}")]
     Route(#[from] route::Refusal),
-    /// A header that must be there is missing.
+    /// A required header is missing.
     #[error("malformed-header")]
     Header,
-    /// Its body is larger than the limit.
+    /// The body exceeds the size limit.
     #[error("body-too-large")]
     TooLarge,
-    /// Its body broke off.
+    /// The body ended early.
     #[error("body-broken-off")]
     Truncated,
-    /// Backend servers ended under it.
+    /// Backend servers ended under the request.
     #[error("ends-servers")]
     EndsServers,
 }
 
 impl Refusal {
-    /// Status and, where coming back helps, when.
+    /// Returns the response's status and, if a retry can help, the delay before it.
     pub fn answer(self) -> (http::StatusCode, Option<Duration>) {
-        /// A gateway knows a configuration within this time of its start.
+        /// Time within which a starting gateway receives a configuration.
         const CONFIG_RETRY_AFTER: Duration = Duration::from_millis(500);
         match self {
             Refusal::NoConfig => (http::StatusCode::SERVICE_UNAVAILABLE, Some(CONFIG_RETRY_AFTER)),
-            // Other gateways serve.
+            // Other gateways serve, so the client may retry at once.
             Refusal::Stopping => (http::StatusCode::SERVICE_UNAVAILABLE, Some(Duration::ZERO)),
             Refusal::Route(route::Refusal::NoRoute) => (http::StatusCode::NOT_FOUND, None),
             Refusal::Route(route::Refusal::UnknownKey) => (http::StatusCode::UNAUTHORIZED, None),
             Refusal::Header | Refusal::Truncated => (http::StatusCode::BAD_REQUEST, None),
-            // It has run, so that nothing that says otherwise is true, and there
-            // is no time at which its caller should come back.
+            // The request has run, so a response must not claim that it has not. No delay is given,
+            // because a retry cannot succeed.
             Refusal::EndsServers => (http::StatusCode::BAD_GATEWAY, None),
             Refusal::TooLarge => (http::StatusCode::PAYLOAD_TOO_LARGE, None),
         }
@@ -65,33 +64,34 @@
 
 /// A request that may be sent to a backend server.
 pub struct Request {
-    /// Its head as it came.
+    /// Unchanged head of the request.
     pub head: http::request::Parts,
-    /// Its body, whole.
+    /// Complete body.
     pub body: Bytes,
-    /// What the head says.
+    /// What the protocol reads from the head.
     pub meta: protocol::Request,
-    /// Its route and team.
+    /// Route and team of the request.
     pub grant: route::Grant,
-    /// What it is, whichever try of its caller: path, caller and body.
+    /// Digest of path, team and body, which is the same for all retries of the request.
     pub digest: poison::Digest,
-    /// Whether it may have ended a backend server, as far as was known when it came.
+    /// Whether the request may have ended a backend server, as far as was known when it was
+    /// received.
     pub suspect: bool,
-    /// Service that is to answer it.
+    /// Service that the request is for.
     pub service: Arc<str>,
-    /// When it came.
+    /// Time at which the request was received.
     pub received: boot::Instant,
-    /// When the final answer is due.
+    /// Deadline of the final response.
     pub due: boot::Instant,
-    /// Version of the configuration that decided.
+    /// Version of the configuration that the route is from.
     pub version: u64,
 }
 
-/// Reads a request whole and finds its route.
+/// Reads a complete request and finds its route.
 ///
 /// # Errors
 ///
-/// A [`Refusal`]; nothing was sent anywhere.
+/// Returns a [`Refusal`] if the request is rejected. Nothing has been sent to a backend server.
 pub async fn read(
     head: http::request::Parts,
     body: Incoming,
@@ -110,7 +110,7 @@
     Ok(Request { head, body, meta, grant, digest, suspect, service, received, due, version })
 }
 
-/// What stays the same when a caller asks again: the team stands for the caller,
+/// Returns the digest of what stays the same when a client retries. The team stands for the client,
 /// whichever of its keys is used, and all headers may differ.
 fn digest(
     head: &http::request::Parts,
--- a/gateway/src/server.rs
+++ b/gateway/src/server.rs
@@ -1,4 +1,4 @@
-//! Takes clients' connections.
+//! Accepts and serves clients' connections.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,20 +11,19 @@
 
 use crate::{drain, exchange, flow, state};
 
-/// Longest time that a connection is idle before the configuration's limit is
-/// known, and what is added to that limit, so that we never close first on a
-/// client that keeps to it.
+/// Idle timeout of a connection before the configuration's timeout is known.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(60);
-/// See [`DEFAULT_IDLE_TIMEOUT`].
+/// Added to the idle timeout, so that the gateway never closes a connection first if its client
+/// keeps to the configured timeout.
 const IDLE_MARGIN: Duration = Duration::from_secs(5);
-/// Least room for a request's head.
+/// Minimum size of a request's head that is accepted.
 const MIN_HEADER_BYTES: usize = 16 * 1024;
-/// Longest time that sent bytes may stay unacknowledged: a client that was cut
-/// off holds its connection no longer.
+/// Maximum time that sent bytes may stay unacknowledged. After it, the connection of a client that
+/// was cut off is closed.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Takes connections until the process is about to end. Later ones are refused by the
-/// system, so that clients know that nothing was read.
+/// Accepts connections until the process is about to exit. The operating system refuses later ones,
+/// so that clients know that nothing of their requests was read.
 pub async fn run<P: Protocol>(gateway: Arc<state::Gateway<P>>, listener: TcpListener) {
     let mut phases = gateway.lifecycle.phases();
     tokio::select! {
@@ -42,7 +41,8 @@
                 tokio::spawn(serve(gateway.clone(), stream, connection));
             }
             Err(error) => {
-                // Out of file descriptors, mostly: others must end first.
+                // Mostly the process is out of file descriptors, and other connections must end
+                // first.
                 log::error!("accept failed error=\"{error}\"");
                 tokio::time::sleep(Duration::from_millis(50)).await;
             }
@@ -75,7 +75,7 @@
     };
     let served = http1::Builder::new()
         .timer(TokioTimer::new())
-        // The library counts the time between two requests as well.
+        // The library's timeout also covers the time between two requests.
         .header_read_timeout(idle)
         .max_buf_size(head * 2)
         .serve_connection(TokioIo::new(stream), service);
@@ -83,7 +83,7 @@
     let ended = tokio::select! {
         ended = served.as_mut() => ended,
         () = phases.wait(lifecycle::Phase::Stopped) => {
-            // Closes at once where it is idle; an answer in flight goes on.
+            // Closes an idle connection at once. A response in progress is completed first.
             served.as_mut().graceful_shutdown();
             served.await
         }
--- a/gateway/src/stream.rs
+++ b/gateway/src/stream.rs
@@ -1,9 +1,9 @@
-//! Hands a stream of events on to the client.
+//! Relays event streams to clients.
 //!
-//! Only whole events are handed on. If the backend server breaks off, and the
-//! route allows it, another one goes on behind the last event within the same
-//! answer. A stream that cannot be ended is broken off towards the client as
-//! well, so that it does not look whole.
+//! Only complete events are relayed. If the backend server's connection breaks and the route allows
+//! it, another server resumes the stream after the last event within the same response. If no
+//! server can resume it, the response to the client is broken off too, so that it does not look
+//! complete.
 
 use std::fmt;
 use std::sync::Arc;
@@ -24,39 +24,38 @@
 use crate::request::Request;
 use crate::state::{Gateway, Target};
 
-/// Parts of an answer that may wait for a slow client.
+/// Maximum number of parts of a response that wait for a slow client.
 pub const QUEUE_LEN: usize = 8;
 
-/// A stream on its way.
+/// A response that is being relayed to the client.
 pub struct Relay<P> {
-    /// The gateway.
+    /// Shared state of the gateway.
     pub gateway: Arc<Gateway<P>>,
-    /// The request.
+    /// The client's request.
     pub request: Arc<Request>,
-    /// Its place at the dispatcher.
+    /// The dispatcher's permit for the request.
     pub permit: dispatch::Permit<Target>,
-    /// Towards the client.
+    /// Sender of the response's body to the client.
     pub sender: mpsc::Sender<Part>,
-    /// Its share in the requests in flight.
+    /// Guard that counts the request as in flight.
     pub _in_flight: drain::InFlight<P>,
-    /// What the client has seen of its pace.
+    /// Pace of the stream as seen by the client.
     pub timing: Timing,
 }
 
-/// When a stream's events came.
+/// Arrival times of a stream's events.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Timing {
-    /// From the request to the first event.
+    /// Time from the request to the first event.
     first: Option<Duration>,
-    /// Longest pause between two events, also while another backend server is
-    /// found.
+    /// Longest pause between two events, including pauses while the stream is being resumed.
     pause: Duration,
-    /// When the last event came.
+    /// Arrival time of the last event.
     last: Option<boot::Instant>,
 }
 
 impl Timing {
-    /// An event of a request that came then.
+    /// Records an event of a request that was received at `received`.
     fn record(&mut self, received: boot::Instant) {
         let now = boot::Instant::now();
         self.first.get_or_insert(now.saturating_duration_since(received));
@@ -75,20 +74,20 @@
 
 /// How one backend server's part of a stream ended.
 enum End {
-    /// The stream is whole.
+    /// The stream is complete.
     Whole,
-    /// The backend server broke off.
+    /// The connection to the backend server broke.
     Broken,
-    /// The client left.
+    /// The client disconnected.
     Disconnected,
-    /// Time is up.
+    /// The request's deadline passed.
     TimedOut,
-    /// Others found that servers end under it.
+    /// Others found that servers end under the request, so it is refused.
     Refused,
 }
 
 impl<P: Protocol> Relay<P> {
-    /// Hands the stream on until it ends.
+    /// Relays the event stream until it ends.
     pub async fn run(mut self, stream: Stream) {
         let mut splitter = Splitter::default();
         let mut stream = Some(stream);
@@ -107,9 +106,9 @@
                 End::TimedOut => return self.abort("deadline").await,
                 End::Broken => {
                     let answer_begun = splitter.last_id().is_some();
-                    let broke =
+                    let classification =
                         self.gateway.classify_break(&self.request, server, &target, answer_begun);
-                    let end = broke.await;
+                    let end = classification.await;
                     stream = self.resume(&mut splitter, end).await;
                 }
                 End::Refused => {
@@ -121,7 +120,7 @@
         self.abort("backend-server-broke-off").await;
     }
 
-    /// Hands an answer that is no stream of events on as it comes.
+    /// Relays a response that is not an event stream, as it arrives.
     pub async fn run_long(mut self, stream: Stream, first: Bytes) {
         let (server, target, status) = (stream.server, stream.target.clone(), stream.head.status);
         let end = match self.send(first).await {
@@ -158,7 +157,9 @@
             let frame = tokio::select! {
                 biased;
                 () = self.sender.closed() => return End::Disconnected,
-                frame = tokio::time::timeout_at(self.request.due.timer(), stream.body.frame()) => frame,
+                frame = tokio::time::timeout_at(self.request.due.timer(), stream.body.frame()) => {
+                    frame
+                }
             };
             let data = match frame {
                 Err(_) => return End::TimedOut,
@@ -172,10 +173,10 @@
         }
     }
 
-    /// Hands one backend server's part of the stream on.
+    /// Relays one backend server's part of the event stream.
     async fn forward_events(&mut self, stream: Stream, splitter: &mut Splitter) -> End {
         let Stream { mut body, answer, connection, target, .. } = stream;
-        // The first event's wait is no pause.
+        // The time until the first event does not count as a pause.
         let mut last: Option<boot::Instant> = None;
         let gateway = self.gateway.clone();
         let refused = gateway.mirror.ends.refused(self.request.digest);
@@ -217,7 +218,7 @@
         self.gateway.done(&self.request, outcome, &format_args!("{reason} {}", self.timing));
     }
 
-    /// Tells the dispatcher how long the stream has paused.
+    /// Records an event, and reports the pause before it to the dispatcher.
     fn observe(&mut self, pause: Duration) {
         self.timing.record(self.request.received);
         let wanted = self.request.grant.route.pause;
@@ -226,7 +227,7 @@
         }
     }
 
-    /// Hands bytes to the client; returns an end if that ends the stream.
+    /// Sends bytes to the client. Returns how the stream ended if they cannot be sent.
     async fn send(&self, bytes: Bytes) -> Option<End> {
         let sent = tokio::time::timeout_at(self.request.due.timer(), self.sender.send(Ok(bytes)));
         match sent.await {
@@ -236,8 +237,8 @@
         }
     }
 
-    /// Finds another backend server that goes on behind the last event.
-    /// The part of before ended as `end` says.
+    /// Resumes the stream after the last event on another backend server. `end` is how the previous
+    /// part ended.
     async fn resume(&mut self, splitter: &mut Splitter, end: balancer::End) -> Option<Stream> {
         splitter.discard();
         let after = splitter.last_id().cloned();
@@ -256,7 +257,7 @@
                 dispatch::Next::Send(attempt) => attempt,
                 dispatch::Next::Refuse(refusal) => {
                     log::info!(
-                        "not resumed request={} after={} reason={}",
+                        "stream not resumed request={} after={} reason={}",
                         self.request.meta.id,
                         after.as_deref().unwrap_or("-"),
                         refusal.reason
@@ -285,10 +286,10 @@
         }
     }
 
-    /// Breaks the answer off, so that the client does not take it to be whole.
+    /// Breaks off the response, so that the client does not take it to be complete.
     async fn abort(self, reason: &'static str) {
         self.done("broken-off", reason);
-        // The client may have left meanwhile.
+        // The client may have disconnected meanwhile.
         self.sender.send(Err(Broken)).await.unwrap_or_default();
     }
 }
--- a/gateway/src/upstream.rs
+++ b/gateway/src/upstream.rs
@@ -1,10 +1,9 @@
 //! Connections to backend servers.
 //!
-//! One request at a time goes over a connection. A connection is kept only
-//! after a whole answer; one on which anything else arrives is closed by the
-//! HTTP library. Where a request must not run twice, it goes over a connection
-//! of its own: on a kept one, a late answer could take its place, or the
-//! backend server might just be closing it.
+//! A connection carries one request at a time. It is kept only after a complete response; the HTTP
+//! library closes an idle connection on which anything else arrives. A request that must not run
+//! twice is sent over a new connection: on a kept one, a late response to an earlier request could
+//! be taken for its response, or the backend server might be closing the connection.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -22,59 +21,58 @@
 
 use crate::state::Target;
 
-/// Longest wait for a connection. A backend server within a region accepts
-/// within milliseconds, across regions within a tenth of a second; a packet
-/// that is lost would be sent again after about a second, which is later than
-/// another backend server answers.
+/// Connect timeout. A backend server in the same region accepts within milliseconds, in another
+/// region within a tenth of a second. A lost packet would be sent again after about a second, and
+/// another backend server answers sooner than that.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// Longest time that sent bytes may stay unacknowledged.
+/// Maximum time that sent bytes may stay unacknowledged.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long nothing may come over a connection before it is probed, and the time
-/// between two probes; the system counts both in whole seconds. A probe that is
-/// not acknowledged ends the connection as sent bytes do ([`UNACKNOWLEDGED_TIMEOUT`]).
+/// Idle time of a connection before a TCP keepalive probe, and the interval between two probes. The
+/// operating system counts both in whole seconds. An unacknowledged probe ends the connection in
+/// the same way as unacknowledged bytes ([`UNACKNOWLEDGED_TIMEOUT`]).
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
-/// Time for which a kept connection may be silent before the others that are
-/// kept to the same backend server are not used again: what silenced one has
-/// most likely silenced them all, and each would cost a request. Heads come
-/// within this time where the backend server serves at all.
+/// Time without a response on a kept connection after which the other connections kept to the same
+/// backend server are closed. What silenced one has most likely silenced all of them, and each
+/// would cost a request. A backend server that serves at all sends a response head within this
+/// time.
 const SILENCE_LIMIT: Duration = Duration::from_secs(1);
-/// How long an idle connection is kept where the backend server says nothing.
+/// Time that an idle connection is kept if the backend server reports no keep-alive time.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(3);
-/// What is taken off the time that a backend server keeps idle connections, so
-/// that it does not close one while a request is on its way.
+/// Subtracted from the keep-alive time that a backend server reports, so that it does not close a
+/// connection while a request is on its way.
 const IDLE_MARGIN: Duration = Duration::from_millis(700);
 
 type Sender = http1::SendRequest<Full<Bytes>>;
 
-/// Why an attempt got no answer.
+/// Why an attempt has no response.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// Nothing was sent.
     #[error("not sent: {0}")]
     NotSent(String),
-    /// The request was sent, at least in part, and no answer came.
+    /// The request was sent, at least in part, and no response was received.
     #[error("no answer: {0}")]
     NoAnswer(String),
-    /// Nothing was sent: the backend server wants nothing any more.
+    /// Nothing was sent, because the backend server should get no more requests for now.
     #[error("the server asked for rest, names a rate limit, leaves or is drained")]
     Withheld,
 }
 
-/// An answer whose head has come.
+/// A response whose head has been received.
 pub struct Reply {
-    /// Its head, and the body that is still to come.
+    /// Head of the response, and its body, which is still arriving.
     pub response: http::Response<Incoming>,
-    /// The connection that it comes over.
+    /// Connection that the response arrives on.
     pub connection: Connection,
 }
 
-/// A connection that is in use; dropping it closes it.
+/// A connection in use. Dropping it closes the connection.
 pub struct Connection {
     sender: Sender,
     run: fleet::Run,
 }
 
-/// Kept connections, by the backend server's run.
+/// Pool of idle connections, by run of the backend server.
 #[derive(Default)]
 pub struct Pool {
     idle: Mutex<HashMap<fleet::Run, Vec<Idle>>>,
@@ -87,18 +85,17 @@
 
 impl Pool {
     fn lock(&self) -> MutexGuard<'_, HashMap<fleet::Run, Vec<Idle>>> {
-        // A holder that panicked leaves at worst one connection less.
+        // If a lock holder panicked, the pool lacks at most one connection.
         self.idle.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
-    /// Sends a request and waits for the head of the answer. With `fresh`, it
-    /// goes over a new connection. Whether it is still `wanted` is asked right
-    /// before it is sent: a connection may take [`CONNECT_TIMEOUT`] to come about,
-    /// and a busy process longer than that.
+    /// Sends a request and waits for the head of the response. With `fresh`, it uses a new
+    /// connection. `wanted` is called right before the request is sent, because connecting may take
+    /// [`CONNECT_TIMEOUT`], and longer in a busy process.
     ///
     /// # Errors
     ///
-    /// An [`Error`] that tells whether the request may have arrived.
+    /// Returns an [`Error`] that tells whether the request may have reached the server.
     pub async fn send(
         &self,
         target: &Target,
@@ -117,7 +114,7 @@
             match answer {
                 Ok(response) => return Ok(reply(response, sender, target)),
                 Err(mut error) => match error.take_message() {
-                    // The connection had ended before.
+                    // The connection had already ended.
                     Some(unsent) => request = unsent,
                     None => return Err(Error::NoAnswer(error.into_error().to_string())),
                 },
@@ -148,8 +145,8 @@
         None
     }
 
-    /// Keeps a connection whose answer was whole, for as long as the backend
-    /// server keeps it.
+    /// Returns a connection to the pool after a complete response, for as long as the backend
+    /// server keeps it open.
     pub fn put(&self, target: &Target, connection: Connection, keep_alive: Option<Duration>) {
         let time = keep_alive.map_or(DEFAULT_IDLE_TIMEOUT, |time| time.saturating_sub(IDLE_MARGIN));
         let mut idle = self.lock();
@@ -161,15 +158,15 @@
         }
     }
 
-    /// Closes the kept connections to backend servers that are not wanted.
+    /// Closes the idle connections of all runs except those that `wanted` accepts.
     pub fn retain(&self, wanted: impl Fn(&fleet::Run) -> bool) {
         self.lock().retain(|run, _| wanted(run));
     }
 }
 
-/// A call on a kept connection, which may have fallen silent. Dropping it after
-/// a long wait without an answer, also where the wait is given up, closes the
-/// other connections that are kept to the backend server.
+/// Guard of a call on a kept connection, which may no longer deliver anything. If the guard is
+/// dropped after a long wait without a response, also by cancellation, it closes the other idle
+/// connections to the backend server.
 struct Guard<'a> {
     pool: &'a Pool,
     run: &'a fleet::Run,
@@ -192,7 +189,7 @@
         if let Some(kept) = self.pool.lock().remove(self.run).filter(|kept| !kept.is_empty()) {
             let (count, ms) = (kept.len(), silent.as_millis());
             log::info!(
-                "kept connections closed server={} count={count} silent_ms={ms}",
+                "idle connections closed server={} count={count} silent_ms={ms}",
                 self.run.id
             );
         }
@@ -203,15 +200,15 @@
     Reply { response, connection: Connection { sender, run: target.run.clone() } }
 }
 
-/// Longest wait for the answer to a health check.
+/// Maximum time to wait for the response to a health check.
 const HEALTH_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Asks a backend server whether it serves; returns the head of the answer. A new
-/// connection can_connect the run that has the address now.
+/// Sends a health check to a backend server and returns the head of the response. It uses a new
+/// connection, which reaches the run that has the address now.
 ///
 /// # Errors
 ///
-/// An [`Error`].
+/// Returns an [`Error`] if no response is received.
 pub async fn check_health(address: SocketAddr, path: &str) -> Result<http::response::Parts, Error> {
     let to_error = |error: &dyn std::error::Error| Error::NoAnswer(error.to_string());
     let request = http::Request::get(path).header(http::header::HOST, address.to_string());
@@ -222,7 +219,7 @@
     Ok(answer.into_parts().0)
 }
 
-/// Whether a connection to a backend server comes about. Nothing is sent on it.
+/// Returns whether the backend server at an address accepts a connection. Nothing is sent on it.
 pub async fn can_connect(address: SocketAddr) -> bool {
     let connected = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
     matches!(connected, Ok(Ok(_)))
