--- a/gateway/src/drain.rs
+++ b/gateway/src/drain.rs
@@ -1,13 +1,12 @@
-//! A gateway's lifecycle, and its planned stop.
+//! Lifecycle of the gateway, and its planned stop.
 //!
-//! After the signal the gateway calls itself not ready, so that the platform
-//! sends no new connections, and goes on serving what comes over kept ones,
-//! each answer telling the client to close. Once the platform has taken_out and
-//! nothing is in flight, nothing more is taken and idle connections are closed.
-//! From then on, and from [`REJECT_DELAY`] on in any case, a request that still
-//! comes is refused as not run, so that all answers are out before the process
-//! is killed. The process ends once all connections are closed: an answer that
-//! has come to its end may not be written out yet.
+//! After the stop signal the gateway reports itself not ready, so that the platform sends no new
+//! connections. It continues to serve requests on open connections, and each response tells the
+//! client to close. Once the platform has removed the gateway and no request is in flight, the
+//! gateway accepts no more requests and closes idle connections. From then on, and from
+//! [`REJECT_DELAY`] in any case, further requests are rejected as not run, so that all responses
+//! are written before the process is killed. The process exits once all connections are closed,
+//! because a complete response may not have been written out yet.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -25,25 +24,26 @@
 
 use crate::{exchange, state};
 
-/// The platform asks each second and takes a gateway out after two misses.
+/// Time after which the platform has removed a gateway that is not ready. It checks every second
+/// and removes a gateway after two failed checks.
 const UNREADY_DELAY: Duration = Duration::from_millis(2_300);
-/// Time after the signal from which requests are refused.
+/// Time from the stop signal until requests are rejected.
 const REJECT_DELAY: Duration = Duration::from_millis(3_100);
-/// What is left of the grace when the process ends by itself.
+/// Part of the grace period that is left when the process exits on its own.
 const END_MARGIN: Duration = Duration::from_millis(250);
-/// Pause between two checks whether the process may end.
+/// Interval between two checks whether the process may exit.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Descriptors that clients' connections leave free: the platform keeps 200 for
-/// files, and hosts that follow this one, the store and the metrics take some.
+/// File descriptors that are not available to clients' connections. The platform reserves 200 for
+/// files, and the hosts that follow this one, the store and the metrics need some.
 const RESERVED_DESCRIPTORS: usize = 300;
-/// Pause between two looks whether clients have left.
+/// Interval between two checks whether clients have disconnected.
 const CAPACITY_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The lifecycle, shared by all connections.
+/// Lifecycle of the process, shared by all connections.
 pub struct Lifecycle {
     inner: Mutex<Inner>,
-    /// Clients' connections that may be open.
+    /// Maximum number of open connections from clients.
     max_connections: usize,
     phase: watch::Sender<lifecycle::Phase>,
 }
@@ -51,29 +51,30 @@
 struct Inner {
     machine: StateMachine<lifecycle::Lifecycle>,
     in_flight: usize,
-    /// What each open connection answers, by its number.
+    /// Current exchange of each open connection, by connection number.
     connections: BTreeMap<u64, exchange::Exchange>,
-    /// Connections so far.
+    /// Number of connections accepted since the start, which numbers them.
     accepted: u64,
     stop: Option<boot::Instant>,
-    /// Whether the process is about to end with nothing in flight.
+    /// Whether requests are rejected because the process is about to exit with none in flight.
     closed: bool,
 }
 
-/// How a request is to be taken.
+/// How a new request is handled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
-    /// As always.
+    /// The request is served.
     Open,
-    /// Served, and the client is told to close.
+    /// The request is served, and the client is told to close the connection.
     Closing,
-    /// Refused: the process is about to end.
+    /// The request is rejected because the process is about to exit.
     Rejected,
 }
 
 impl Lifecycle {
-    /// A lifecycle that begins, of a process that may use so many descriptors. Each
-    /// client's connection may need another one to a backend server.
+    /// Creates the lifecycle of a process that may open `max_descriptors` file descriptors. Half of
+    /// those available are for clients, because each client's connection may need another one to a
+    /// backend server.
     pub fn new(max_descriptors: usize) -> Lifecycle {
         let machine = lifecycle::Lifecycle::machine();
         let inner = Inner {
@@ -95,7 +96,7 @@
         self.inner.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
-    /// Hands the machine an event.
+    /// Passes an event to the state machine.
     pub fn handle(&self, event: lifecycle::Event) {
         let mut inner = self.lock();
         inner.machine.handle(&event);
@@ -103,18 +104,18 @@
         self.phase.send_if_modified(|known| std::mem::replace(known, phase) != phase);
     }
 
-    /// Whether new connections are wanted.
+    /// Returns whether the gateway accepts new connections.
     pub fn ready(&self) -> bool {
         *self.phase.borrow() == lifecycle::Phase::Serving && self.has_capacity()
     }
 
-    /// Whether a client's connection can be taken.
+    /// Returns whether another client's connection can be accepted.
     fn has_capacity(&self) -> bool {
         self.connections() < self.max_connections
     }
 
-    /// Waits until a client's connection can be taken. Those that come meanwhile
-    /// are kept by the system, and the platform finds the gateway not ready.
+    /// Waits until another client's connection can be accepted. Meanwhile new connections wait in
+    /// the accept backlog, and the gateway reports itself not ready to the platform.
     pub async fn wait_for_capacity(&self) {
         if self.has_capacity() {
             return;
@@ -127,18 +128,18 @@
         log::info!("connections taken again");
     }
 
-    /// Requests in flight.
+    /// Returns the number of requests in flight.
     pub fn in_flight(&self) -> usize {
         self.lock().in_flight
     }
 
-    /// Clients' connections that are open.
+    /// Returns the number of open connections from clients.
     pub fn connections(&self) -> usize {
         self.lock().connections.len()
     }
 
-    /// Counts a request until the guard is dropped, and says how it is to be
-    /// taken: in one step, so that the process does not end between the two.
+    /// Counts a request as in flight until the guard is dropped, and returns how it is handled.
+    /// Both happen under one lock, so that the process cannot exit between the two.
     pub fn admit<P>(gateway: &Arc<state::Gateway<P>>) -> (Admission, InFlight<P>) {
         let mut inner = gateway.lifecycle.lock();
         inner.in_flight += 1;
@@ -151,14 +152,14 @@
         (admission, InFlight { gateway: gateway.clone() })
     }
 
-    /// Takes nothing more, if nothing is in flight.
+    /// Rejects all further requests if none is in flight. Returns whether requests are rejected.
     fn close_if_idle(&self) -> bool {
         let mut inner = self.lock();
         inner.closed |= inner.in_flight == 0;
         inner.closed
     }
 
-    /// Counts a connection until the guard is dropped.
+    /// Counts a connection as open until the guard is dropped.
     pub fn connect<P>(gateway: &Arc<state::Gateway<P>>) -> Connection<P> {
         let exchange = exchange::Exchange::default();
         let mut inner = gateway.lifecycle.lock();
@@ -169,26 +170,26 @@
         Connection { gateway: gateway.clone(), number, exchange }
     }
 
-    /// Follows the phase.
+    /// Returns a subscription to the lifecycle's phase.
     pub fn phases(&self) -> Phases {
         Phases { phase: self.phase.subscribe() }
     }
 }
 
-/// Waits for a phase.
+/// A subscription to the lifecycle's phase.
 pub struct Phases {
     phase: watch::Receiver<lifecycle::Phase>,
 }
 
 impl Phases {
-    /// Waits until the lifecycle has reached a phase.
+    /// Waits until the lifecycle is in the phase `wanted`.
     pub async fn wait(&mut self, wanted: lifecycle::Phase) {
         // The sender lives as long as the process.
         self.phase.wait_for(|phase| *phase == wanted).await.map(drop).unwrap_or_default();
     }
 }
 
-/// A request in flight.
+/// Guard of a request in flight.
 pub struct InFlight<P> {
     gateway: Arc<state::Gateway<P>>,
 }
@@ -199,7 +200,7 @@
     }
 }
 
-/// An open connection.
+/// Guard of an open connection.
 pub struct Connection<P> {
     gateway: Arc<state::Gateway<P>>,
     number: u64,
@@ -207,7 +208,7 @@
 }
 
 impl<P> Connection<P> {
-    /// What it answers.
+    /// Returns the connection's current exchange.
     pub fn exchange(&self) -> &exchange::Exchange {
         &self.exchange
     }
@@ -219,7 +220,7 @@
     }
 }
 
-/// The signals that a gateway takes.
+/// The signals that a gateway handles.
 pub struct Signals {
     terminate: Signal,
     interrupt: Signal,
@@ -227,11 +228,11 @@
 }
 
 impl Signals {
-    /// Begins to receive them.
+    /// Starts to receive the signals.
     ///
     /// # Errors
     ///
-    /// What the system said.
+    /// Returns the error from the operating system.
     pub fn new() -> std::io::Result<Signals> {
         Ok(Signals {
             terminate: signal(SignalKind::terminate())?,
@@ -240,7 +241,7 @@
         })
     }
 
-    /// Waits for a signal to stop, reading the settings anew at each hangup.
+    /// Waits for a stop signal. Reloads the settings at each hangup signal.
     async fn wait_for_stop(&mut self, peers: &follow::Peers, file: &Path) {
         loop {
             tokio::select! {
@@ -252,7 +253,7 @@
     }
 }
 
-/// Reads the settings anew. Addresses that are listened on stay as they are.
+/// Reloads the settings. Changes of listening addresses are ignored.
 fn reload(peers: &follow::Peers, file: &Path) {
     match settings::Gateway::read(file) {
         Ok(settings) => {
@@ -263,7 +264,7 @@
     }
 }
 
-/// Waits for a stop and returns when the process may end.
+/// Waits for a stop signal and returns when the process may exit.
 pub async fn wait<P: Protocol>(
     gateway: &Arc<state::Gateway<P>>,
     peers: &follow::Peers,
--- a/gateway/src/ended.rs
+++ b/gateway/src/ended.rs
@@ -1,13 +1,14 @@
-//! Whether a backend server ended under a request.
+//! Finds out whether a backend server ended under a request.
 //!
-//! A connection that breaks says little: the path may have been reset, the
-//! backend server may have cut one request, or its group may have broken since
-//! another rank ended. One that has ended itself takes no connection either.
-//! One that was leaving ends by plan, under whatever it still runs. Where the
-//! break was noticed late, another run may take connections at the address by
-//! then: 1.1 s after the end was seen. Where it was noticed early, the port of a
-//! process that is ending may still be open while its connections are closed one
-//! after the other, so a server that was found alive is looked at once more.
+//! The *end* of a server is the unplanned exit of one run of its process. A broken connection alone
+//! does not show it: the path may have been reset, the server may have closed one request, or its
+//! group may have failed because another rank ended. A server that has ended accepts no
+//! connections. A server that is leaving exits by plan, even with requests running.
+//!
+//! If the break is noticed late, another run may already accept connections at the address; one did
+//! 1.1 s after the end. If the break is noticed early, the listening port of an exiting process may
+//! still be open while its connections are closed one after the other. Therefore a server that
+//! accepts connections is checked once more.
 
 use std::time::Duration;
 
@@ -20,15 +21,14 @@
 use crate::state::{Gateway, Target};
 use crate::upstream;
 
-/// Time after which a server that was found alive is looked at once more: far
-/// longer than a process takes to close what it has open, far shorter than a
-/// server takes to be back, which is a second and more. What follows the attempt
-/// does not wait for it.
+/// Delay before a server that was found alive is checked again. It is far longer than a process
+/// takes to close its connections, and far shorter than a server takes to restart, which is a
+/// second or more. The request's next attempt does not wait for this check.
 const RECHECK_DELAY: Duration = Duration::from_millis(150);
 
 impl<P: Protocol> Gateway<P> {
-    /// The connection to a backend server broke under a request: finds out
-    /// whether the server ended, and returns how the attempt did.
+    /// Finds out whether a backend server ended when its connection broke under a request. Returns
+    /// how the attempt ended.
     pub(crate) async fn classify_break(
         &self,
         request: &Request,
@@ -39,7 +39,8 @@
         let leaving = self.dispatcher.leaving(server);
         let lives = lives(&self.dispatcher, target).await;
         log::info!(
-            "connection broke request={} digest={} server={} lives={lives} leaving={leaving} alone={} ms={}",
+            "connection broke request={} digest={} server={} lives={lives} \
+             leaving={leaving} alone={} ms={}",
             request.meta.id,
             request.digest,
             target.run.id,
@@ -58,14 +59,14 @@
         balancer::End::ServerEnded
     }
 
-    /// A request is refused as one that ends servers while a backend server runs it: the
-    /// server may end under it all the same, beside others.
+    /// Records that a request is rejected as one that ends servers while a backend server runs it.
+    /// The server may still end under it, together with other requests.
     pub(crate) fn abandon(&self, request: &Request, target: &Target) {
         let left = request.due.saturating_duration_since(boot::Instant::now());
         self.mirror.ends.abandon(&target.run, request.digest, left);
     }
 
-    /// Looks at a server that was found alive a second time, beside what follows.
+    /// Checks a server that was found alive a second time, in a task of its own.
     fn recheck(&self, request: &Request, target: &Target) {
         let (dispatcher, mirror) = (self.dispatcher.clone(), self.mirror.clone());
         let (target, digest, alone) = (target.clone(), request.digest, request.suspect);
@@ -82,7 +83,7 @@
     }
 }
 
-/// Whether the run takes connections, and no other one has its address.
+/// Returns whether the run accepts connections and no other run is listed at its address.
 async fn lives(dispatcher: &dispatch::Dispatcher<Target>, target: &Target) -> bool {
     let replaced = dispatcher.any_listed(|other: &Target| {
         other.address == target.address && other.run.differs(&target.run)
--- a/gateway/src/health.rs
+++ b/gateway/src/health.rs
@@ -1,4 +1,4 @@
-//! Readiness for the platform, and metrics.
+//! Serves readiness checks of the platform, and metrics.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -12,7 +12,6 @@
 
 use crate::state;
 
-/// Path of the metrics.
 const METRICS_PATH: &str = "/metrics";
 
 fn answer<P: Protocol>(gateway: &state::Gateway<P>, path: &str) -> http::Response<Full<Bytes>> {
@@ -31,7 +30,7 @@
     response
 }
 
-/// Answers on an address until the process ends.
+/// Serves readiness and metrics on a listener until the process exits.
 pub async fn serve<P: Protocol>(gateway: Arc<state::Gateway<P>>, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
--- a/gateway/src/lib.rs
+++ b/gateway/src/lib.rs
@@ -1,17 +1,17 @@
-//! The gateway: takes clients' requests and sends each to a backend server.
+//! The gateway accepts clients' HTTP requests and sends each of them to a backend server.
 //!
-//! A request's way: [`server`] takes the connection, [`request`] reads the
-//! request and finds its route, [`flow`] takes it from attempt to attempt,
-//! [`upstream`] sends an attempt, and [`answer`] or, for streams, [`stream`]
-//! hands the answer on. [`state`] holds what all requests share; it follows
-//! the configuration and the list of backend servers through the mirror.
-//! [`probe`] finds out when a group can be reached again, and whether a backend
-//! server that started again leaves, [`ended`] whether a
-//! backend server ended under a request, [`notice`] what servers say of their
-//! own near future.
-//! [`exchange`] logs which request a client's connection leaves without an answer.
-//! [`health`] tells the platform whether the gateway is ready, [`drain`] is
-//! the planned stop.
+//! Path of a request: [`server`] accepts the connection, [`request`] reads the request and finds
+//! its route, and [`flow`] makes one attempt after another until the request has a final response.
+//! [`upstream`] sends an attempt. [`answer`] relays the response to the client or, for event
+//! streams, [`stream`] does. [`state`] holds what all requests share and keeps it up to date with
+//! the configuration and the list of backend servers, which the mirror provides.
+//!
+//! Supporting modules: [`probe`] finds out whether an unreachable group is reachable again and
+//! whether a restarted backend server is leaving. [`ended`] finds out whether a backend server
+//! ended under a request. [`notice`] applies what servers report about leaving, resting and rate
+//! limits. [`exchange`] logs each request that a client's connection leaves without a complete
+//! response. [`health`] reports to the platform whether the gateway is ready, and [`drain`]
+//! implements the planned stop.
 
 mod answer;
 pub mod body;
@@ -45,31 +45,31 @@
 use tonic::codec::CompressionEncoding;
 use tonic::transport::server::TcpIncoming;
 
-/// Peers that a gateway follows. With three, a change reaches a gateway while
-/// two of its peers are cut off from the store as well.
+/// Number of peers that a gateway follows. With three, a change still reaches a gateway while two
+/// of its peers are cut off from the store too.
 const FOLLOWED_PEERS: usize = 3;
 
-/// Why the gateway could not run.
+/// An error that keeps the gateway from running.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// An address cannot be listened on.
-    #[error("{address}: {source}")]
+    /// The gateway cannot listen on an address.
+    #[error("cannot listen on {address}: {source}")]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// What the system said.
+        /// Error from the operating system.
         source: std::io::Error,
     },
-    /// Signals cannot be received.
+    /// The process cannot receive signals.
     #[error("signals cannot be received: {0}")]
     Signal(std::io::Error),
 }
 
-/// Runs a gateway until a planned stop is over.
+/// Runs a gateway until its planned stop is complete.
 ///
 /// # Errors
 ///
-/// An [`Error`] of an address or of the signals.
+/// Returns an [`Error`] if an address cannot be listened on or signals cannot be received.
 pub async fn run<P: Protocol, S: Store>(
     file: &Path,
     settings: settings::Gateway,
@@ -124,12 +124,12 @@
     Ok(())
 }
 
-/// Time within which a change of loftcove's own keys is to be peers: peers'
-/// addresses, members and drivers of groups. All of these go on by what was
-/// peers before, and entries of peers outlast their owners by as long.
+/// Time limit for learning of a change of loftcove's own keys: addresses of peers, members and
+/// drivers of groups. All users of these keys continue with the last known values, and an entry of
+/// a peer outlasts its owner by the same time.
 const OWN_KEYS_BOUND: Duration = Duration::from_secs(20);
 
-/// What a gateway watches in the store.
+/// Returns the key prefixes that a gateway watches in the store.
 fn subjects<P: Protocol>(serving: &settings::Serving) -> [watch::Subject; 3] {
     let ms = |ms: f64| Duration::from_secs_f64(ms / 1_000.0);
     [
@@ -147,15 +147,15 @@
     ]
 }
 
-/// Shortest of the bounds for what the operators and the backend servers change.
+/// Returns the shorter of the time limits for changes by operators and by backend servers.
 fn shortest_bound(serving: &settings::Serving) -> Duration {
     Duration::from_secs_f64(serving.config_bound_ms.min(serving.drain_bound_ms) / 1_000.0)
 }
 
-/// Connections that may wait to be accepted: all clients of a zone may come
-/// back at once after the other gateways have gone.
+/// Maximum number of connections that wait to be accepted. All clients of a zone may reconnect at
+/// once after the other gateways have stopped.
 const CLIENT_BACKLOG: u32 = 1_024;
-/// The same, for the platform's and our own processes.
+/// Accept backlog for connections from the platform and from loftcove's own processes.
 const INTERNAL_BACKLOG: u32 = 128;
 
 fn bind(address: SocketAddr, backlog: u32) -> Result<TcpListener, Error> {
@@ -166,8 +166,7 @@
     socket.listen(backlog).map_err(listen_error)
 }
 
-/// Has the store asked for what was missed, each time that the host has been
-/// suspended.
+/// Makes the mirror ask the store for missed changes after each suspension of the host.
 async fn resync_after_suspension(mirror: Arc<mirror::Mirror>) {
     loop {
         let time = boot::wait_for_suspension().await;
--- a/gateway/src/metrics.rs
+++ b/gateway/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms of a gateway.
+//! Counters, gauges and histograms of a gateway.
 
 use std::sync::atomic::AtomicU64;
 use std::time::Duration;
@@ -14,20 +14,20 @@
 
 use crate::state;
 
-/// Label with the outcome of a request.
+/// Label for the outcome of a request.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct Outcome {
-    /// What became of it.
+    /// Outcome, such as `answered` or `refused`.
     pub outcome: &'static str,
 }
 
-/// Label with the prefix that a watch of the store is for.
+/// Label for the key prefix of a store watch.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct Watched {
     prefix: &'static str,
 }
 
-/// Metrics of the watches of the store, as they stand.
+/// Metrics of the store watches at one moment.
 #[derive(Debug, Default)]
 struct Watches {
     waited: Family<Watched, Gauge<f64, AtomicU64>>,
@@ -57,38 +57,38 @@
     }
 }
 
-/// All metrics.
+/// Metrics of a gateway.
 #[derive(Debug)]
 pub struct Metrics {
-    /// Requests by their outcome.
+    /// Number of requests, by outcome.
     pub requests: Family<Outcome, Counter>,
-    /// Attempts that were sent.
+    /// Number of attempts that were sent.
     pub attempts: Counter,
-    /// Streams that another backend server went on with.
+    /// Number of streams that were resumed on another backend server.
     pub resumed: Counter,
-    /// Requests under which their backend server ended.
+    /// Number of requests under which their backend server ended.
     pub servers_ended: Counter,
-    /// Times that a backend server asked for rest.
+    /// Number of times that a backend server asked for a rest.
     pub rests: Counter,
-    /// Times that a backend server named a rate limit or another one.
+    /// Number of times that a backend server reported a rate limit or a changed one.
     pub limits: Counter,
-    /// Health checks of restarted backend servers whose earlier run left.
+    /// Number of health checks of restarted backend servers whose earlier run was leaving.
     pub health_checks: Counter,
-    /// Time to the head of an answer, seconds.
+    /// Time to the head of a response, in seconds.
     pub first_byte: Histogram,
-    /// Time to the end of an answer, seconds.
+    /// Time to the end of a response, in seconds.
     pub whole: Histogram,
-    /// Version of the configuration.
+    /// Version of the current configuration.
     pub config_version: Gauge,
-    /// Entries of the store that name no backend server to use.
+    /// Number of store entries that describe no usable backend server.
     pub unusable_entries: Gauge,
-    /// Listed backend servers in availability zones that are drained.
+    /// Number of listed backend servers in drained availability zones.
     pub drained_servers: Gauge,
 }
 
 impl Default for Metrics {
     fn default() -> Metrics {
-        // From 4 ms to 16 s, doubling.
+        // Buckets from 4 ms to 16 s, doubling.
         let histogram = || Histogram::new(exponential_buckets(0.004, 2.0, 13));
         Metrics {
             requests: Family::default(),
@@ -108,13 +108,13 @@
 }
 
 impl Metrics {
-    /// Counts a request's outcome.
+    /// Counts a request's outcome and records its duration.
     pub fn ended(&self, outcome: &'static str, after: Duration) {
         self.requests.get_or_create(&Outcome { outcome }).inc();
         self.whole.observe(after.as_secs_f64());
     }
 
-    /// The text form of all metrics.
+    /// Returns all metrics in the text format.
     pub fn encode<P: Protocol>(&self, gateway: &state::Gateway<P>) -> String {
         let waiting: Gauge = Gauge::default();
         waiting.set(gateway.dispatcher.waiting() as i64);
@@ -129,8 +129,8 @@
         let ended = "Requests under which their backend server ended";
         registry.register("server_ended", ended, self.servers_ended.clone());
         registry.register("server_rests", "Rests that servers asked for", self.rests.clone());
-        let named = "Rate limits that servers named, each change of one";
-        registry.register("server_limits", named, self.limits.clone());
+        let changes = "Rate limits that servers named, each change of one";
+        registry.register("server_limits", changes, self.limits.clone());
         let limited: Gauge = Gauge::default();
         limited.set(gateway.dispatcher.limited() as i64);
         registry.register("servers_limited", "Servers that name a rate limit", limited);
@@ -141,8 +141,8 @@
         resting.set(noticed.0 as i64);
         leaving.set(noticed.1 as i64);
         registry.register("servers_resting", "Servers that rest at present", resting);
-        let told = "Listed servers that told in their answers that they leave";
-        registry.register("servers_leaving", told, leaving);
+        let reported = "Listed servers that told in their answers that they leave";
+        registry.register("servers_leaving", reported, leaving);
         let refused: Gauge = Gauge::default();
         refused.set(gateway.mirror.ends.convicted().len() as i64);
         registry.register("requests_that_end_servers", "Requests that are refused for it", refused);
--- a/gateway/src/notice.rs
+++ b/gateway/src/notice.rs
@@ -1,5 +1,6 @@
-//! What backend servers say of their own near future: handed to the dispatcher,
-//! logged where it changes something.
+//! Applies what backend servers report about leaving, resting and rate limits. Changes are logged.
+//!
+//! A server that asks for a *rest* gets no requests for a time.
 
 use loftcove_decision::routing::{notice, rate};
 use loftcove_dispatch as dispatch;
@@ -9,7 +10,7 @@
 use crate::state::{Gateway, Target};
 
 impl<P: Protocol> Gateway<P> {
-    /// Takes what an answer says of its backend server's near future.
+    /// Applies what a response reports about its backend server leaving or resting.
     pub(crate) fn apply_notice(
         &self,
         request: &Request,
@@ -33,7 +34,8 @@
             Some(notice::Change::Rests(time)) => {
                 self.metrics.rests.inc();
                 log::info!(
-                    "server rests server={server} born={born} asked_ms={} ms={} request={} status={status}",
+                    "server rests server={server} born={born} asked_ms={} ms={} request={} \
+                     status={status}",
                     notice.rest,
                     time.as_millis(),
                     request.meta.id
@@ -46,7 +48,7 @@
         }
     }
 
-    /// Takes what an answer says of its backend server's rate limit.
+    /// Applies what a response reports about its backend server's rate limit.
     pub(crate) fn apply_limit(
         &self,
         request: &Request,
@@ -76,7 +78,8 @@
             Some(rate::Change::Lifted(time)) => {
                 self.mirror.limit_lifted(&attempt.target.run);
                 log::info!(
-                    "server limit lifted server={server} born={} ms={} request={id} status={status}",
+                    "server limit lifted server={server} born={} ms={} request={id} \
+                     status={status}",
                     born(&attempt.target),
                     time.as_millis()
                 );
@@ -85,7 +88,7 @@
     }
 }
 
-/// When a run started, where its entry tells it.
+/// Returns the start time of a run, or `-` if its entry has none.
 fn born(target: &Target) -> String {
     target.run.born.map_or_else(|| "-".to_owned(), |born| born.to_string())
 }
--- a/gateway/src/probe.rs
+++ b/gateway/src/probe.rs
@@ -1,6 +1,6 @@
-//! Probes backend servers without a caller's request: whether a group that was out of
-//! reach can be reached again, by a connection that is made and closed, and whether
-//! a restarted server leaves, by a health check.
+//! Probes backend servers independently of requests. A connection that is opened and closed shows
+//! whether an unreachable group is reachable again. A health check shows whether a restarted server
+//! is leaving.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,11 +10,11 @@
 
 use crate::{state, upstream};
 
-/// Pause between two probes of a gateway. A probe costs two packets; the time
-/// until one comes about is what callers lose after the way is open again.
+/// Interval between two rounds of probes by a gateway. A probe costs two packets. The time until
+/// the next probe is what clients lose after the group has become reachable.
 const PROBE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Probes groups that are out of reach until the process ends.
+/// Probes unreachable groups until the process exits.
 pub async fn run<P: Protocol>(gateway: Arc<state::Gateway<P>>) {
     loop {
         for (group, ranks) in gateway.dispatcher.out_of_reach().await {
@@ -28,13 +28,13 @@
     }
 }
 
-/// Pause between two health checks of a backend server.
+/// Interval between two health checks of a backend server.
 const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// Health checks of a gateway at a time.
+/// Maximum number of concurrent health checks by a gateway.
 const MAX_HEALTH_CHECKS: usize = 8;
 
-/// Settles whether restarted backend servers leave whose earlier run said so, until the
-/// process ends. They get nothing meanwhile.
+/// Finds out whether a restarted backend server is leaving if its earlier run reported that it
+/// leaves. Runs until the process exits. Such servers get no requests until this is known.
 pub async fn check_restarted<P: Protocol>(gateway: Arc<state::Gateway<P>>) {
     loop {
         let unsettled = gateway.dispatcher.unsettled().await;
@@ -56,7 +56,7 @@
 ) {
     let id = &target.run.id;
     let Some(path) = &target.health_path else {
-        log::info!("server settled server={id} leaving=false reason=no-health-path");
+        log::info!("leaving state determined server={id} leaving=false reason=no-health-path");
         return gateway.dispatcher.settle(server, false);
     };
     gateway.metrics.health_checks.inc();
@@ -65,15 +65,15 @@
             Health::Serves => false,
             Health::Leaves => true,
             Health::Unknown => {
-                log::info!("health check settled nothing server={id} status={}", head.status);
+                log::info!("health check inconclusive server={id} status={}", head.status);
                 return;
             }
         },
         Err(error) => {
-            log::info!("health check settled nothing server={id} error=\"{error}\"");
+            log::info!("health check inconclusive server={id} error=\"{error}\"");
             return;
         }
     };
-    log::info!("server settled server={id} leaving={leaving} reason=health-check");
+    log::info!("leaving state determined server={id} leaving={leaving} reason=health-check");
     gateway.dispatcher.settle(server, leaving);
 }
--- a/gateway/src/state.rs
+++ b/gateway/src/state.rs
@@ -1,4 +1,4 @@
-//! What all requests of a gateway share.
+//! State that all requests of a gateway share.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::marker::PhantomData;
@@ -17,53 +17,53 @@
 
 use crate::{drain, metrics, upstream};
 
-/// Part of the retries allowed by the settings that is used: the rest is for
-/// clients whose requests cross, and for counts that differ by timing.
+/// Fraction of the configured retry allowance that is used. The remainder covers clients whose
+/// requests cross on the way, and counts that differ by timing.
 const RETRY_MARGIN: f64 = 0.75;
-/// Requests that may wait for a backend server.
+/// Maximum number of requests that wait for a backend server.
 const MAX_WAITING: usize = 512;
-/// Shortest time after which a refused client is told to come back.
+/// Minimum retry delay for the client of a rejected request.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(300);
-/// Time after which a client is told to come back whose group is broken. Groups
-/// are down for seconds, and clients wait for a third of their time at total:
-/// sooner would mostly be too soon.
+/// Retry delay for clients of a group that is unavailable. A group is unavailable for seconds, and
+/// clients wait for at most a third of their time, so a shorter delay would mostly bring them back
+/// too early.
 const GROUP_RETRY_AFTER: Duration = Duration::from_millis(2_600);
 
-/// Where a backend server takes requests.
+/// How to reach a backend server.
 #[derive(Debug, Clone)]
 pub struct Target {
-    /// Its run.
+    /// Run of the server.
     pub run: fleet::Run,
-    /// Address.
+    /// Address that accepts requests.
     pub address: SocketAddr,
-    /// Connections that this gateway may keep to it.
+    /// Maximum number of idle connections that this gateway keeps to the server.
     pub max_connections: usize,
-    /// Path at which it tells whether it serves.
+    /// Path of the health check, which reports whether the server serves.
     pub health_path: Option<Arc<str>>,
 }
 
-/// The gateway. Lock order, where more than one is held: the dispatcher, then
-/// the mirror; the pool of connections is taken alone.
+/// State of the gateway. Lock order, where more than one lock is held: the dispatcher, then the
+/// mirror. The lock of the connection pool is never held together with another one.
 pub struct Gateway<P> {
-    /// Its settings.
+    /// Settings of the gateway.
     pub settings: settings::Gateway,
-    /// Routes of the newest configuration; none before the first one.
+    /// Routes of the newest configuration. Empty until the first one has been received.
     pub routes: ArcSwapOption<route::Table>,
-    /// What is known of the store.
+    /// Local copy of the store's contents.
     pub mirror: Arc<mirror::Mirror>,
-    /// Decisions, and the requests that wait for them.
+    /// Dispatching decisions, and the requests that wait for them.
     pub dispatcher: Arc<dispatch::Dispatcher<Target>>,
-    /// Connections to backend servers.
+    /// Pool of connections to backend servers.
     pub upstream: upstream::Pool,
-    /// Whether it serves, drains or stops.
+    /// Lifecycle of the process, which tells whether it serves, drains or stops.
     pub lifecycle: drain::Lifecycle,
-    /// Counters.
+    /// Metrics of the gateway.
     pub metrics: metrics::Metrics,
     protocol: PhantomData<P>,
 }
 
 impl<P: Protocol> Gateway<P> {
-    /// A gateway that knows nothing yet.
+    /// Creates a gateway that has received neither a configuration nor a list of backend servers.
     pub fn new(settings: settings::Gateway) -> Gateway<P> {
         let ratio = settings.serving.retry_ratio * RETRY_MARGIN;
         let options = balancer::Options::default()
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Takes a configuration if it is newer than the current one.
+    /// Applies a configuration if it is newer than the current one.
     fn apply_config(&self, config: &Arc<route::Config>) {
         let current = self.routes.load().as_ref().map(|table| table.version);
         if current.is_some_and(|version| version >= config.version) {
@@ -98,7 +98,7 @@
         log::info!("configuration version={version} before={}", current.unwrap_or(0));
     }
 
-    /// Brings routes and backend servers up to the mirror.
+    /// Applies the mirror's current routes and backend servers.
     fn refresh(&self, catalog: &mut catalog::Catalog<P>) {
         catalog.update(&self.mirror);
         if let Some(config) = catalog.config() {
@@ -128,14 +128,14 @@
         self.dispatcher.set_reserve(serving.retry_slack * RETRY_MARGIN / gateways as f64);
         let usable = !servers.is_empty();
         self.update_servers(catalog, &servers, gateways);
-        // Without backend servers it could only refuse.
+        // A gateway without backend servers could only reject requests.
         if usable && self.routes.load().is_some() {
             self.lifecycle.handle(lifecycle::Event::Ready);
         }
     }
 
-    /// Service and group of each engine, as drivers have written them: for
-    /// engines whose entries do not tell.
+    /// Returns service and group of each engine, as the drivers have written them. They are used
+    /// for engines whose entries don't name their group.
     fn groups_by_member(&self) -> BTreeMap<SocketAddr, (Arc<str>, Arc<str>)> {
         let mut groups = BTreeMap::new();
         for (group, entry) in membership::entries(&self.mirror) {
@@ -176,7 +176,7 @@
             None => {
                 let known = groups.get(&server.address);
                 let known = known.filter(|(service, _)| *service == server.service);
-                // Until its members are known, a service counts as one group.
+                // A service counts as one group until its members are known.
                 let group =
                     known.map_or_else(|| server.service.clone(), |(_, group)| group.clone());
                 dispatch::Rank { group, reported: None }
@@ -217,8 +217,7 @@
     }
 }
 
-/// Brings the gateway up to the mirror whenever it changes, until the process
-/// ends.
+/// Applies each change of the mirror to the gateway until the process exits.
 pub async fn follow<P: Protocol>(gateway: Arc<Gateway<P>>) {
     let mut changes = gateway.mirror.subscribe();
     let mut catalog = catalog::Catalog::default();
