--- a/gateway/tests/body.rs
+++ b/gateway/tests/body.rs
@@ -1,8 +1,9 @@
-//! A streamed answer that breaks off, over a connection of the library that serves clients.
+//! A streamed response that breaks off, served by the HTTP library that serves clients.
 //!
-//! Seen: a request that had reached a backend server ended without an answer at a gateway
-//! that nothing was done to. How: the stream broke off before the connection wrote its head,
-//! and a body's error drops whatever is not written yet.
+//! Guards against this failure: a request that had reached a backend server ended without a
+//! response, at a gateway without any injected fault. The stream broke off before the connection
+//! had written the response's head, and an error of the body drops everything that is not written
+//! yet.
 
 #![allow(clippy::unwrap_used, reason = "a test that fails may panic")]
 
@@ -16,7 +17,7 @@
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
 use tokio::sync::mpsc;
 
-/// What a client reads of an answer whose parts are all there before it is first written.
+/// Returns what a client reads of a response whose parts are all available before the first write.
 async fn read(parts: Vec<body::Part>) -> String {
     let (sender, receiver) = mpsc::channel(parts.len().max(1));
     for part in parts {
@@ -39,17 +40,17 @@
     text
 }
 
-/// The client learns that its request ran, and that the answer is not whole.
+/// The client learns that its request ran and that the response is incomplete.
 #[tokio::test]
-async fn an_answer_that_breaks_off_before_its_head_is_written_has_a_head() {
+async fn writes_the_head_of_a_response_that_breaks_off_first() {
     let text = read(vec![Err(body::Broken)]).await;
     assert!(text.starts_with("HTTP/1.1 200 OK\r\n"), "{text:?}");
     assert!(!text.contains("0\r\n\r\n"), "{text:?}");
 }
 
-/// Parts that came before the break are delivered.
+/// Parts that precede the break are delivered.
 #[tokio::test]
-async fn parts_before_a_break_are_written() {
+async fn writes_the_parts_that_precede_a_break() {
     let parts = ["first", "second"].map(|part| Ok(Bytes::from_static(part.as_bytes())));
     let text = read(parts.into_iter().chain([Err(body::Broken)]).collect()).await;
     assert!(text.contains("5\r\nfirst\r\n") && text.contains("6\r\nsecond\r\n"), "{text:?}");
