--- a/gateway/src/event.rs
+++ b/gateway/src/event.rs
@@ -1,66 +1,66 @@
-//! Cuts a series of events into whole ones.
+//! Splits a byte stream into complete server-sent events.
 
 use std::sync::Arc;
 
 use bytes::{Bytes, BytesMut};
 
-/// Longest event that is put together; a longer one is passed on in pieces
-/// and cannot be resumed.
-const MAX_EVENT: usize = 64 * 1024;
+/// Maximum size of an event that is reassembled. A longer event is passed on in pieces, and its
+/// stream cannot be resumed within it.
+const MAX_EVENT_BYTES: usize = 64 * 1024;
 
-/// Puts events together. What it hands out ends with an event, so that another
-/// backend server can go on behind it.
+/// Reassembles events. Its output ends at an event boundary, so that another backend server can
+/// resume the stream from there.
 #[derive(Debug, Default)]
 pub struct Splitter {
-    rest: BytesMut,
+    buffer: BytesMut,
     last_id: Option<Arc<str>>,
 }
 
 impl Splitter {
-    /// Takes bytes; returns the whole events that they complete.
+    /// Adds bytes, and returns the events that they complete.
     pub fn push(&mut self, data: &Bytes) -> Option<Bytes> {
-        self.rest.extend_from_slice(data);
-        let end = match last_blank_line(&self.rest) {
+        self.buffer.extend_from_slice(data);
+        let end = match last_blank_line(&self.buffer) {
             Some(end) => end,
-            None if self.rest.len() > MAX_EVENT => self.rest.len(),
+            None if self.buffer.len() > MAX_EVENT_BYTES => self.buffer.len(),
             None => return None,
         };
-        let whole = self.rest.split_to(end).freeze();
+        let whole = self.buffer.split_to(end).freeze();
         if let Some(id) = last_id(&whole) {
             self.last_id = Some(id);
         }
         Some(whole)
     }
 
-    /// Id of the last whole event.
+    /// Returns the id of the last complete event.
     pub fn last_id(&self) -> Option<&Arc<str>> {
         self.last_id.as_ref()
     }
 
-    /// What is left when the stream has ended.
+    /// Returns the remaining bytes when the stream has ended.
     pub fn finish(&mut self) -> Option<Bytes> {
-        let rest = self.rest.split().freeze();
-        (!rest.is_empty()).then_some(rest)
+        let buffer = self.buffer.split().freeze();
+        (!buffer.is_empty()).then_some(buffer)
     }
 
-    /// Drops the part of an event that was broken off.
+    /// Discards the incomplete event of a broken stream.
     pub fn discard(&mut self) {
-        self.rest.clear();
+        self.buffer.clear();
     }
 }
 
-/// End of the last blank line.
+/// Returns the end of the last blank line.
 fn last_blank_line(bytes: &[u8]) -> Option<usize> {
-    let plain = find_last(bytes, b"\n\n").map(|at| at + 2);
-    let carriage = find_last(bytes, b"\r\n\r\n").map(|at| at + 4);
-    plain.max(carriage)
+    let lf = find_last(bytes, b"\n\n").map(|at| at + 2);
+    let crlf = find_last(bytes, b"\r\n\r\n").map(|at| at + 4);
+    lf.max(crlf)
 }
 
 fn find_last(bytes: &[u8], pattern: &[u8]) -> Option<usize> {
     bytes.windows(pattern.len()).rposition(|window| window == pattern)
 }
 
-/// The id that the last `id:` line gives.
+/// Returns the id in the last `id:` line.
 fn last_id(events: &[u8]) -> Option<Arc<str>> {
     let mut lines = events.rsplit(|byte| *byte == b'\n');
     let line = lines.find_map(|line| line.strip_prefix(b"id:"))?;
