--- a/gateway/src/lib.rs
+++ b/gateway/src/lib.rs
@@ -94,7 +94,7 @@
         let wanted = move |mirror: &mirror::Mirror| register::watches(mirror, &own);
         tokio::spawn(watch::run(gateway.mirror.clone(), store.clone(), subject, wanted));
     }
-    let own = follow::Own {
+    let own = follow::LocalHost {
         name: host.name.clone(),
         zone: host.zone.clone(),
         address: Some(listen.peer_address),
@@ -171,7 +171,7 @@
 async fn notice_suspensions(mirror: Arc<mirror::Mirror>) {
     loop {
         let time = boot::wait_for_suspension().await;
-        mirror.woke(time);
+        mirror.resumed_from_suspend(time);
     }
 }
 
--- a/mirror/src/distance.rs
+++ b/mirror/src/distance.rs
@@ -12,7 +12,7 @@
 
 /// Distance that counts as out of reach. Hosts that follow each other in a circle
 /// count up to it within a few messages when the last watcher is lost.
-pub const FAR: u32 = 4;
+pub const UNREACHABLE: u32 = 4;
 
 /// The distance of one host.
 #[derive(Debug)]
@@ -33,7 +33,7 @@
 
 impl Default for Distance {
     fn default() -> Distance {
-        Distance { state: Mutex::default(), own: channel::Sender::new(FAR) }
+        Distance { state: Mutex::default(), own: channel::Sender::new(UNREACHABLE) }
     }
 }
 
@@ -49,8 +49,8 @@
     }
 
     /// Whether a peer that is followed is within reach of the store.
-    pub fn peers_reach(&self) -> bool {
-        self.lock().peers.values().any(|distance| *distance < FAR)
+    pub fn peers_reach_store(&self) -> bool {
+        self.lock().peers.values().any(|distance| *distance < UNREACHABLE)
     }
 
     /// Whether the host is one of its zone's watchers.
@@ -95,7 +95,7 @@
         if self.watcher && self.answered {
             return 0;
         }
-        let nearest = self.peers.values().min().copied().unwrap_or(FAR);
-        (nearest + 1).min(FAR)
+        let nearest = self.peers.values().min().copied().unwrap_or(UNREACHABLE);
+        (nearest + 1).min(UNREACHABLE)
     }
 }
--- a/mirror/src/follow.rs
+++ b/mirror/src/follow.rs
@@ -39,7 +39,7 @@
 
 /// Who follows.
 #[derive(Debug, Clone)]
-pub struct Own {
+pub struct LocalHost {
     /// Name of the host.
     pub name: Arc<str>,
     /// Its availability zone.
@@ -50,7 +50,7 @@
 
 /// The peers of a host, and which of them it follows.
 pub struct Peers {
-    own: Own,
+    own: LocalHost,
     seeds: Mutex<Vec<SocketAddr>>,
     /// Peers that are followed, by the number of the follower.
     used: Mutex<BTreeMap<usize, SocketAddr>>,
@@ -81,7 +81,7 @@
 
 impl Peers {
     /// Peers known from the settings.
-    pub fn new(own: Own, seeds: Vec<SocketAddr>) -> Peers {
+    pub fn new(own: LocalHost, seeds: Vec<SocketAddr>) -> Peers {
         Peers {
             own,
             seeds: Mutex::new(seeds),
@@ -223,7 +223,7 @@
 /// Follows a peer until the stream fails, or until a better one is known.
 async fn follow(
     mirror: &Mirror,
-    own: &Own,
+    own: &LocalHost,
     address: SocketAddr,
     insists: bool,
     placed: impl Fn(),
--- a/mirror/src/followers.rs
+++ b/mirror/src/followers.rs
@@ -16,7 +16,7 @@
 
 /// Followers that a host takes: several times its even share, so that few are
 /// redirected once all hosts know each other.
-pub const MOST: usize = 64;
+pub const MAX: usize = 64;
 /// Others that are named to a redirected one.
 const NAMED: usize = 8;
 
@@ -69,7 +69,7 @@
     /// followers here: half of them in its zone, as far as there are so many.
     fn others(&self, zone: &str) -> Vec<Peer> {
         let state = self.lock();
-        if state.present.len() < MOST {
+        if state.present.len() < MAX {
             return Vec::new();
         }
         let peers = || state.present.values().flatten();
--- a/mirror/src/health.rs
+++ b/mirror/src/health.rs
@@ -52,7 +52,7 @@
     }
 
     /// Whether the store answered the last call.
-    pub fn up(&self) -> bool {
+    pub fn available(&self) -> bool {
         self.lock().down_since.is_none()
     }
 
--- a/mirror/src/lib.rs
+++ b/mirror/src/lib.rs
@@ -167,7 +167,7 @@
             let ms = silent.as_millis();
             log::info!("watch answered again prefix={prefix} silent_ms={ms}");
         }
-        self.distance.set_answered(self.progress.all_heard());
+        self.distance.set_answered(self.progress.all_answered());
         self.store_answered();
     }
 
@@ -191,7 +191,7 @@
 
     /// The host was suspended: calls that wait were sent before, and their timers
     /// are late, so all watches are asked again.
-    pub fn woke(&self, suspended: std::time::Duration) {
+    pub fn resumed_from_suspend(&self, suspended: std::time::Duration) {
         log::warn!("host suspended ms={} next=ask-again", suspended.as_millis());
         self.silences.send_modify(|count| *count += 1);
     }
@@ -199,7 +199,7 @@
     /// The store answered a call. That says nothing of the watches, which are on
     /// connections of their own.
     fn store_answered(&self) {
-        let before = self.health.up();
+        let before = self.health.available();
         self.health.answered();
         if !before {
             self.tell_waiting();
@@ -221,7 +221,7 @@
 
     /// A call to the store failed.
     fn store_failed(&self, error: &store::Error) {
-        let before = self.health.up();
+        let before = self.health.available();
         self.health.failed(error);
         self.distance.set_answered(false);
         if before {
@@ -231,9 +231,9 @@
 
     /// A peer that is followed told its distance from the store.
     fn peer_at(&self, peer: &str, distance: u32) {
-        let before = self.distance.peers_reach();
+        let before = self.distance.peers_reach_store();
         self.distance.set_peer(peer, distance);
-        let now = self.distance.peers_reach();
+        let now = self.distance.peers_reach_store();
         if before != now {
             log::info!("peers reach the store reach={now} peer={peer} distance={distance}");
             self.changes.send_modify(|version| *version += 1);
--- a/mirror/src/progress.rs
+++ b/mirror/src/progress.rs
@@ -78,7 +78,7 @@
     }
 
     /// Whether the last call of each watch was answered.
-    pub fn all_heard(&self) -> bool {
+    pub fn all_answered(&self) -> bool {
         self.lock().values().all(|watch| watch.heard)
     }
 
--- a/mirror/src/register.rs
+++ b/mirror/src/register.rs
@@ -118,7 +118,7 @@
 /// Whether a gateway may rely on the peers that it follows, or did until just now.
 fn relies(mirror: &Mirror, bound: Duration) -> bool {
     let followed = mirror.followed.load(std::sync::atomic::Ordering::Relaxed);
-    let reached = mirror.distance.peers_reach() || !mirror.health.up();
+    let reached = mirror.distance.peers_reach_store() || !mirror.health.available();
     let enough = reached && followed >= RELIED_ON;
     mirror.relied.look(enough, reached, bound.mul_f64(CHANGE_OF_PEER))
 }
@@ -171,7 +171,7 @@
                 rest = error.rest().min(SLOW_RENEWAL);
             }
         }
-        let slow = mirror.health.up() && mirror.progress.watches().is_empty();
+        let slow = mirror.health.available() && mirror.progress.watches().is_empty();
         let pause = if slow { SLOW_RENEWAL } else { RENEWAL };
         tokio::time::sleep(pause.max(rest)).await;
     }
--- a/mirror/tests/distance.rs
+++ b/mirror/tests/distance.rs
@@ -1,6 +1,6 @@
 //! Hosts know how far from the store they hear of changes.
 
-use loftcove_mirror::distance::{Distance, FAR};
+use loftcove_mirror::distance::{Distance, UNREACHABLE};
 
 /// Hands distances on along the links, each from a host to its follower, until
 /// nothing changes.
@@ -24,15 +24,15 @@
 fn distance_is_counted_from_the_nearest_watcher_that_is_answered() {
     let hosts = hosts(3);
     hosts[0].set_watcher(true);
-    assert_eq!(hosts[0].get(), FAR, "the store has not answered it yet");
+    assert_eq!(hosts[0].get(), UNREACHABLE, "the store has not answered it yet");
     hosts[0].set_answered(true);
     settle(&hosts, &[(0, 1), (1, 2)]);
     let distances: Vec<u32> = hosts.iter().map(Distance::get).collect();
     assert_eq!(distances, [0, 1, 2]);
-    assert!(hosts[2].peers_reach());
+    assert!(hosts[2].peers_reach_store());
     hosts[1].forget_peer("0");
     settle(&hosts, &[(1, 2)]);
-    assert!(!hosts[2].peers_reach());
+    assert!(!hosts[2].peers_reach_store());
 }
 
 #[test]
@@ -42,12 +42,12 @@
     hosts[0].set_answered(true);
     let links = [(0, 1), (0, 2), (1, 2), (2, 3), (3, 1), (2, 1), (3, 2)];
     settle(&hosts, &links);
-    assert!(hosts[1..].iter().all(Distance::peers_reach));
+    assert!(hosts[1..].iter().all(Distance::peers_reach_store));
     // The store rejects the watcher.
     hosts[0].set_answered(false);
     settle(&hosts, &links);
-    assert!(hosts.iter().all(|host| host.get() == FAR));
-    assert!(!hosts[1..].iter().any(Distance::peers_reach));
+    assert!(hosts.iter().all(|host| host.get() == UNREACHABLE));
+    assert!(!hosts[1..].iter().any(Distance::peers_reach_store));
 }
 
 #[test]
@@ -55,5 +55,5 @@
     let hosts = hosts(2);
     hosts[0].set_answered(true);
     settle(&hosts, &[(0, 1), (1, 0)]);
-    assert!(!hosts[1].peers_reach(), "or both would stop, each for the other");
+    assert!(!hosts[1].peers_reach_store(), "or both would stop, each for the other");
 }
--- a/mirror/tests/ends.rs
+++ b/mirror/tests/ends.rs
@@ -30,7 +30,7 @@
 }
 
 fn follow(mirror: &Arc<Mirror>, address: SocketAddr) {
-    let own = follow::Own { name: "f".into(), zone: "norte".into(), address: None };
+    let own = follow::LocalHost { name: "f".into(), zone: "norte".into(), address: None };
     let peers = Arc::new(follow::Peers::new(own, vec![address]));
     tokio::spawn(follow::run(mirror.clone(), peers, 0));
 }
@@ -74,7 +74,7 @@
     let (followed, address) = host("norte").await;
     let alone: Arc<Mirror> = Arc::default();
     alone.ends.found(&run(1), guilty(), false);
-    let own = follow::Own {
+    let own = follow::LocalHost {
         name: "alone".into(),
         zone: "norte".into(),
         address: Some("127.0.0.1:9".parse().unwrap()),
--- a/mirror/tests/followers.rs
+++ b/mirror/tests/followers.rs
@@ -28,7 +28,8 @@
 }
 
 fn follow(mirror: &Arc<Mirror>, name: usize, address: Option<SocketAddr>, seed: SocketAddr) {
-    let own = follow::Own { name: format!("host-{name}").into(), zone: "norte".into(), address };
+    let own =
+        follow::LocalHost { name: format!("host-{name}").into(), zone: "norte".into(), address };
     let peers = Arc::new(follow::Peers::new(own, vec![seed]));
     tokio::spawn(follow::run(mirror.clone(), peers, 0));
 }
@@ -50,7 +51,7 @@
     let (seed, at) = host("norte").await;
     seed.apply(vec![record(1)], Source::Store);
     let mut mirrors = Vec::new();
-    for name in 0..4 * followers::MOST {
+    for name in 0..4 * followers::MAX {
         let (mirror, address) = host("norte").await;
         follow(&mirror, name, Some(address), at);
         mirrors.push(mirror);
@@ -59,7 +60,7 @@
     seed.apply(vec![record(2)], Source::Store);
     all_know(&mirrors, 2).await;
     let most = mirrors.iter().chain([&seed]).map(|mirror| mirror.followers.count()).max();
-    assert!(most <= Some(followers::MOST), "{most:?} followers of one host");
+    assert!(most <= Some(followers::MAX), "{most:?} followers of one host");
 }
 
 /// Sidecars follow, and nobody can follow them.
@@ -67,7 +68,7 @@
 async fn who_has_nobody_to_go_to_is_taken() {
     let (seed, at) = host("norte").await;
     seed.apply(vec![record(1)], Source::Store);
-    let mirrors: Vec<Arc<Mirror>> = (0..followers::MOST + 20).map(|_| Arc::default()).collect();
+    let mirrors: Vec<Arc<Mirror>> = (0..followers::MAX + 20).map(|_| Arc::default()).collect();
     for (name, mirror) in mirrors.iter().enumerate() {
         follow(mirror, name, None, at);
     }
@@ -79,7 +80,7 @@
 async fn who_is_redirected_to_hosts_that_are_gone_is_taken_in_the_end() {
     let (seed, at) = host("norte").await;
     seed.apply(vec![record(1)], Source::Store);
-    let mirrors: Vec<Arc<Mirror>> = (0..followers::MOST + 4).map(|_| Arc::default()).collect();
+    let mirrors: Vec<Arc<Mirror>> = (0..followers::MAX + 4).map(|_| Arc::default()).collect();
     for (name, mirror) in mirrors.iter().enumerate() {
         let gone = ([127, 9, 0, name as u8], 9).into();
         follow(mirror, name, Some(gone), at);
--- a/mirror/tests/offers.rs
+++ b/mirror/tests/offers.rs
@@ -50,7 +50,7 @@
 async fn a_record_that_nobody_near_has_is_fetched() {
     let (mirror, address) = host("norte").await;
     let follower: Arc<Mirror> = Arc::default();
-    let own = follow::Own { name: "f".into(), zone: "sul".into(), address: None };
+    let own = follow::LocalHost { name: "f".into(), zone: "sul".into(), address: None };
     let peers = Arc::new(follow::Peers::new(own, vec![address]));
     tokio::spawn(follow::run(follower.clone(), peers, 0));
     mirror.apply(vec![record("large", 5, LARGE)], Source::Store);
--- a/mirror/tests/silence.rs
+++ b/mirror/tests/silence.rs
@@ -20,7 +20,7 @@
     let answer = proxy.obey(&format!("target host norte {address}")).await.unwrap();
     let seed = answer.rsplit(' ').next().unwrap().parse().unwrap();
     let mirror: Arc<Mirror> = Arc::default();
-    let own = follow::Own { name: "f".into(), zone: "norte".into(), address: None };
+    let own = follow::LocalHost { name: "f".into(), zone: "norte".into(), address: None };
     let peers = Arc::new(follow::Peers::new(own, vec![seed]));
     tokio::spawn(follow::run(mirror.clone(), peers, 0));
     mirror
--- a/mirror/tests/watch.rs
+++ b/mirror/tests/watch.rs
@@ -159,8 +159,8 @@
     tokio::time::sleep(SUBJECT.bound * 2).await;
     for _ in 0..400 {
         tokio::time::sleep(Duration::from_millis(10)).await;
-        assert_eq!(mirror.distance.get(), distance::FAR);
-        assert!(mirror.health.up());
+        assert_eq!(mirror.distance.get(), distance::UNREACHABLE);
+        assert!(mirror.health.available());
     }
     store.loses_watches.store(false, Ordering::Relaxed);
     tokio::time::sleep(SUBJECT.bound * 2).await;
--- a/mirror/tests/zones.rs
+++ b/mirror/tests/zones.rs
@@ -36,7 +36,7 @@
         Record { key: "news".into(), revision: Revision::new(0, 3), value: Some("x".into()) };
     wanted.apply(vec![news], Source::Store);
     let mirror: Arc<Mirror> = Arc::default();
-    let own = follow::Own { name: "f".into(), zone: "norte".into(), address: None };
+    let own = follow::LocalHost { name: "f".into(), zone: "norte".into(), address: None };
     let peers = Arc::new(follow::Peers::new(own, vec![seed_address]));
     tokio::spawn(follow::run(mirror.clone(), peers, follower));
     let mut changes = mirror.subscribe();
--- a/sidecar/src/lib.rs
+++ b/sidecar/src/lib.rs
@@ -79,7 +79,7 @@
     let peers = listen(settings.peering.peer_address).await?;
     let metrics_listener = listen(host.metrics_address).await?;
     let mirror: Arc<Mirror> = Arc::default();
-    let own = follow::Own { name: host.name.clone(), zone: host.zone.clone(), address: None };
+    let own = follow::LocalHost { name: host.name.clone(), zone: host.zone.clone(), address: None };
     let known = Arc::new(follow::Peers::new(own, host.seeds.clone()));
     for follower in 0..FOLLOWED {
         tokio::spawn(follow::run(mirror.clone(), known.clone(), follower));
