--- a/mirror/src/catalog.rs
+++ b/mirror/src/catalog.rs
@@ -1,9 +1,9 @@
-//! The operators' configuration and the backend servers, read from the mirror.
+//! The operators' configuration and the backend servers, parsed from the mirror.
 //!
-//! Each record is read once for each change of it. An entry that cannot be
-//! read names no backend server, not even the one that its key named before;
-//! the others hold. With all read again at each change, one entry that changed
-//! among 198 cost 198 readings and that of the configuration.
+//! An entry is parsed once for each of its revisions. Parsing everything at each change cost 198
+//! entries and the configuration for one changed entry among 198. An entry that cannot be parsed
+//! yields no backend server, not even the one that its key held before; other entries are not
+//! affected.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::marker::PhantomData;
@@ -14,63 +14,62 @@
 use loftcove_decision::{fleet, mirror, route};
 use loftcove_interface::protocol::{Place, Protocol, Record};
 
-use crate::{Mirror, lines};
+use crate::{Mirror, log_limit};
 
-/// Ids whose last known start is kept although they are not listed.
-const MOST_STARTS: usize = 4_096;
+/// Number of ids above which the starts of unlisted servers are discarded.
+const MAX_STARTS: usize = 4_096;
 
-/// What the records say.
+/// Configuration, backend servers and drained zones.
 #[derive(Debug)]
 pub struct Catalog<P> {
-    /// Version of the mirror that was read last.
-    read: Option<u64>,
+    /// Version of the mirror at the last update.
+    read_version: Option<u64>,
     entries: BTreeMap<Arc<str>, Entry>,
     config: Option<Arc<route::Config>>,
-    /// Availability zones whose backend servers get nothing.
+    /// Availability zones whose backend servers receive no requests.
     drained: BTreeSet<Arc<str>>,
-    /// Latest start that was told of each id: an entry of an earlier one, which
-    /// a run of before may have written late, is old news.
+    /// Latest known start of each server id. An entry of an earlier start is stale: a previous run
+    /// may have written it late.
     starts: BTreeMap<Arc<str>, u64>,
-    lines: lines::Allowance,
+    log_limiter: log_limit::Limiter,
     protocol: PhantomData<P>,
 }
 
-/// A backend server's entry, as it was last read.
+/// A backend server's entry as it was last parsed.
 #[derive(Debug)]
 struct Entry {
     revision: Revision,
-    /// None where it cannot be read.
+    /// The server; `None` if the entry cannot be parsed.
     server: Option<fleet::Server>,
-    /// When it was read.
-    read: boot::Instant,
+    /// When the entry was parsed.
+    read_at: boot::Instant,
 }
 
 impl Entry {
     fn new(revision: Revision, server: Option<fleet::Server>) -> Entry {
-        Entry { revision, server, read: boot::Instant::now() }
+        Entry { revision, server, read_at: boot::Instant::now() }
     }
 }
 
 impl<P> Default for Catalog<P> {
     fn default() -> Catalog<P> {
         Catalog {
-            read: None,
+            read_version: None,
             entries: BTreeMap::new(),
             config: None,
             drained: BTreeSet::new(),
             starts: BTreeMap::new(),
-            lines: lines::Allowance::default(),
+            log_limiter: log_limit::Limiter::default(),
             protocol: PhantomData,
         }
     }
 }
 
 impl<P: Protocol> Catalog<P> {
-    /// Reads what has changed in the mirror; costs next to nothing where nothing
-    /// has.
+    /// Parses the records that changed in the mirror. Returns at once if the mirror did not change.
     pub fn update(&mut self, mirror: &Mirror) {
         let version = mirror.version();
-        if self.read.replace(version) == Some(version) {
+        if self.read_version.replace(version) == Some(version) {
             return;
         }
         let mut listed = BTreeSet::new();
@@ -88,50 +87,49 @@
                 Place::Other => {}
             }
         }
-        self.drain(drained);
+        self.set_drained(drained);
         self.entries.retain(|key, _| listed.contains(key));
         self.forget_starts();
     }
 
-    /// The configuration, the newest one that could be read.
+    /// Returns the newest configuration that could be parsed.
     pub fn config(&self) -> Option<&Arc<route::Config>> {
         self.config.as_ref()
     }
 
-    /// Whether a backend server's zone is drained: it gets nothing meanwhile.
+    /// Returns whether a backend server's zone is drained, so that it receives no requests.
     pub fn drained(&self, server: &fleet::Server) -> bool {
         self.drained.contains(&server.zone)
     }
 
-    /// The backend servers. One that does not tell when it started is used all
-    /// the same: a single entry of another writer, which tells it, must not take
-    /// out all others.
+    /// Returns the backend servers. A server whose entry lacks its start is included: one entry of
+    /// another writer that has a start must not exclude all entries that have none.
     pub fn servers(&self) -> impl Iterator<Item = &fleet::Server> {
         self.entries.values().filter_map(|entry| entry.server.as_ref())
     }
 
-    /// The same, each with the time until which it is cold by its entry, counted
-    /// from when that was read: rather too long than too short.
+    /// Returns the backend servers, each with the time until which its entry declares it cold. The
+    /// time counts from when the entry was parsed: it is rather too long than too short.
     pub fn servers_cold_until(&self) -> impl Iterator<Item = (&fleet::Server, boot::Instant)> {
         let servers = self.entries.values();
         servers.filter_map(|entry| {
             let server = entry.server.as_ref()?;
-            Some((server, entry.read + server.cold))
+            Some((server, entry.read_at + server.cold))
         })
     }
 
-    /// Entries that name no backend server to use.
+    /// Returns the number of entries that yield no usable backend server.
     pub fn unusable(&self) -> usize {
         self.entries.len() - self.servers().count()
     }
 
-    /// Takes the zones that are drained.
-    fn drain(&mut self, drained: BTreeSet<Arc<str>>) {
+    /// Sets the drained zones and logs the differences.
+    fn set_drained(&mut self, drained: BTreeSet<Arc<str>>) {
         for zone in drained.difference(&self.drained) {
             log::info!("zone drained zone={zone}");
         }
         for zone in self.drained.difference(&drained) {
-            log::info!("zone in use again zone={zone}");
+            log::info!("zone no longer drained zone={zone}");
         }
         self.drained = drained;
     }
@@ -146,7 +144,7 @@
                 }
             }
             Ok(_) => {}
-            Err(error) => self.tell(&error.to_string(), record),
+            Err(error) => self.log_unused(&error.to_string(), record),
         }
     }
 
@@ -160,7 +158,7 @@
             Ok(Record::Server(server)) => Some(server),
             Ok(_) => None,
             Err(error) => {
-                self.tell(&error.to_string(), record);
+                self.log_unused(&error.to_string(), record);
                 None
             }
         };
@@ -170,8 +168,8 @@
             let latest = self.starts.entry(server.id.clone()).or_insert(born);
             if born < *latest {
                 let latest = *latest;
-                self.tell(&format!("start {born} is before {latest}"), record);
-                // The run that is known stays as it is.
+                self.log_unused(&format!("start {born} is before {latest}"), record);
+                // The known run keeps its state.
                 let known = self.entries.remove(&record.key).and_then(|known| known.server);
                 let entry = Entry::new(record.revision, known);
                 self.entries.insert(record.key.clone(), entry);
@@ -182,10 +180,10 @@
         self.entries.insert(record.key.clone(), Entry::new(record.revision, server));
     }
 
-    /// Logs an entry that is not used, once for each change of it, and only
-    /// some of them in a flood.
-    fn tell(&self, reason: &str, record: &mirror::Record) {
-        if let Some(left_out) = self.lines.take() {
+    /// Logs a record that is not used, subject to a rate limit. A server's entry is parsed, and so
+    /// logged, once for each of its revisions.
+    fn log_unused(&self, reason: &str, record: &mirror::Record) {
+        if let Some(left_out) = self.log_limiter.acquire() {
             let revision = record.revision;
             log::warn!(
                 "record not used key={} revision={revision} reason=\"{reason}\" left_out={left_out}",
@@ -195,7 +193,7 @@
     }
 
     fn forget_starts(&mut self) {
-        if self.starts.len() <= MOST_STARTS {
+        if self.starts.len() <= MAX_STARTS {
             return;
         }
         let listed: BTreeSet<&Arc<str>> = self
--- a/mirror/src/distance.rs
+++ b/mirror/src/distance.rs
@@ -1,33 +1,34 @@
-//! How far from the store a host is, over the peers that it follows.
+//! Distance of a host from the store: the number of hops over the peers that it follows.
 //!
-//! One of its zone's watchers that the store answers is at distance 0, and who
-//! follows a host at distance n is at n + 1. Who is too far has peers that all
-//! hear of nothing, and watches the store itself; such a host does not count as
-//! a watcher, so that two of them never wait for each other.
+//! A *watcher* is one of the few gateways of a zone that are chosen to watch the store. A watcher
+//! that the store answers is at distance 0, and a host that follows a peer at distance n is at
+//! n + 1. The peers of a host at [`UNREACHABLE`] receive no updates, so the host watches the store
+//! itself. It does not count as a watcher then: if it did, two hosts that follow each other would
+//! each stop because of the other.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard};
 
 use tokio::sync::watch as channel;
 
-/// Distance that counts as out of reach. Hosts that follow each other in a circle
-/// count up to it within a few messages when the last watcher is lost.
+/// Distance from which a host counts as unable to reach the store. When the last watcher is lost,
+/// hosts that follow each other in a cycle count up to it within a few messages.
 pub const UNREACHABLE: u32 = 4;
 
 /// The distance of one host.
 #[derive(Debug)]
 pub struct Distance {
-    state: Mutex<State>,
+    state: Mutex<Inputs>,
     own: channel::Sender<u32>,
 }
 
 #[derive(Debug, Default)]
-struct State {
+struct Inputs {
     /// Whether the host is one of its zone's watchers.
     watcher: bool,
-    /// Whether the store answers it.
+    /// Whether the store answers the host.
     answered: bool,
-    /// Distances of the peers that are followed, by the follower's address.
+    /// Distances of the followed peers, by peer address.
     peers: BTreeMap<String, u32>,
 }
 
@@ -38,60 +39,60 @@
 }
 
 impl Distance {
-    /// The host's own distance.
+    /// Returns the host's own distance.
     pub fn get(&self) -> u32 {
         *self.own.borrow()
     }
 
-    /// Follows the host's own distance.
+    /// Subscribes to the host's own distance.
     pub fn subscribe(&self) -> channel::Receiver<u32> {
         self.own.subscribe()
     }
 
-    /// Whether a peer that is followed is within reach of the store.
+    /// Returns whether a followed peer can reach the store.
     pub fn peers_reach_store(&self) -> bool {
         self.lock().peers.values().any(|distance| *distance < UNREACHABLE)
     }
 
-    /// Whether the host is one of its zone's watchers.
+    /// Sets whether the host is one of its zone's watchers.
     pub fn set_watcher(&self, watcher: bool) {
-        self.change(|state| state.watcher = watcher);
+        self.update(|state| state.watcher = watcher);
     }
 
-    /// Whether the store answers the host.
+    /// Sets whether the store answers the host.
     pub fn set_answered(&self, answered: bool) {
-        self.change(|state| state.answered = answered);
+        self.update(|state| state.answered = answered);
     }
 
-    /// A peer told its distance.
+    /// Sets the distance that a peer reported.
     pub fn set_peer(&self, peer: &str, distance: u32) {
-        self.change(|state| {
+        self.update(|state| {
             state.peers.insert(peer.to_owned(), distance);
         });
     }
 
-    /// A peer is not followed any more.
+    /// Removes a peer that is no longer followed.
     pub fn forget_peer(&self, peer: &str) {
-        self.change(|state| {
+        self.update(|state| {
             state.peers.remove(peer);
         });
     }
 
-    fn lock(&self) -> MutexGuard<'_, State> {
+    fn lock(&self) -> MutexGuard<'_, Inputs> {
         // Each change is one assignment or insertion.
         self.state.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
-    fn change(&self, change: impl FnOnce(&mut State)) {
+    fn update(&self, update: impl FnOnce(&mut Inputs)) {
         let mut state = self.lock();
-        change(&mut state);
-        let own = state.own();
+        update(&mut state);
+        let own = state.distance();
         self.own.send_if_modified(|known| std::mem::replace(known, own) != own);
     }
 }
 
-impl State {
-    fn own(&self) -> u32 {
+impl Inputs {
+    fn distance(&self) -> u32 {
         if self.watcher && self.answered {
             return 0;
         }
--- a/mirror/src/follow.rs
+++ b/mirror/src/follow.rs
@@ -249,7 +249,7 @@
     let mut first = Some(first);
     log::info!("dependency regained name=peer address={address}");
     let source = address.to_string();
-    let _followed = mirror.followed(&source);
+    let _followed = mirror.count_followed(&source);
     let mut fetches = FuturesUnordered::new();
     // Who has no followers has nothing of its own to tell either.
     let teller = async {
@@ -275,7 +275,7 @@
         let Some(batch) = batch else {
             return Err(tonic::Status::unavailable("the peer ended the stream"));
         };
-        mirror.peer_at(&source, batch.distance);
+        mirror.set_peer_distance(&source, batch.distance);
         let (offers, items): (Vec<_>, Vec<_>) =
             batch.items.into_iter().partition(|item| item.offered);
         mirror.apply(items.into_iter().map(record).collect(), Source::Peer(&source));
--- a/mirror/src/learnt.rs
+++ b/mirror/src/learnt.rs
@@ -1,26 +1,25 @@
-//! What is logged of records that a host learns.
+//! Log lines for *learnt* records: records that are newer than the ones known before.
 //!
-//! Hundreds of hosts hear of each entry of each other one, most of them as all
-//! start. So each record has a line while few come, and only a number of lines
-//! in a flood; the next line then tells how many records were left out. Each
-//! record is logged at the level debug as well.
+//! Hundreds of hosts receive each entry of every other host, most of them while all start. The
+//! lines at level `info` are therefore rate limited; after a burst, the next line gives the number
+//! of suppressed lines as `left_out`. At level `debug` every record has a line.
 
 use loftcove_decision::mirror::Record;
 
-use crate::{Source, lines};
+use crate::{Source, log_limit};
 
-/// What is logged.
+/// Logger with a rate limit at level `info`.
 #[derive(Debug, Default)]
-pub struct Learnt {
-    lines: lines::Allowance,
+pub struct Logger {
+    limiter: log_limit::Limiter,
 }
 
-impl Learnt {
-    /// Logs a record that was news.
+impl Logger {
+    /// Logs a learnt record and the source that it was received from.
     pub fn log(&self, record: &Record, source: Source<'_>) {
         let (key, revision, removed) = (&record.key, record.revision, record.value.is_none());
         log::debug!("record learnt key={key} revision={revision} removed={removed} from={source}");
-        if let Some(left_out) = self.lines.take() {
+        if let Some(left_out) = self.limiter.acquire() {
             log::info!(
                 "learnt key={key} revision={revision} removed={removed} from={source} left_out={left_out}"
             );
--- a/mirror/src/lib.rs
+++ b/mirror/src/lib.rs
@@ -1,12 +1,14 @@
-//! A copy of a part of the store, kept by watches and by peers.
+//! A partial copy of the store, updated by watches and by peers.
 //!
-//! A gateway watches the store ([`watch`]) and follows a few peers
-//! ([`follow`]); a sidecar only follows. Whatever one of them learns it hands
-//! on to those who follow it ([`serve`], [`followers`]), so that a host that the store does
-//! not answer hears of changes from others, one hop later. Merging is that of
-//! [`loftcove_decision::mirror`]. Along with it goes what gateways know of
-//! requests under which backend servers end ([`ends`]), and of rate limits that were
-//! lifted ([`lifts`]).
+//! A gateway watches the store ([`watch`]) and follows a few peers ([`follow`]); a sidecar only
+//! follows peers. Each gateway forwards the records that it learns to its followers ([`serve`],
+//! [`followers`]), so that a host that the store does not answer receives changes from its peers,
+//! one hop later. [`loftcove_decision::mirror`] merges the records. The mirror also distributes
+//! what gateways know of requests during which backend servers ended ([`ends`]) and of rate limits
+//! that were lifted ([`lifts`]).
+//!
+//! The *era* of a revision is the number of times that the store had lost a part of its history
+//! ([`loftcove_decision::revision`]).
 
 pub mod catalog;
 pub mod distance;
@@ -16,7 +18,7 @@
 mod health;
 mod learnt;
 pub mod lifts;
-mod lines;
+mod log_limit;
 pub mod membership;
 pub mod peer;
 pub mod progress;
@@ -35,43 +37,44 @@
 
 pub use health::Health;
 
-/// Prefix of what loftcove itself keeps in the store.
+/// Prefix of the keys that loftcove itself writes to the store.
 pub const OWN_PREFIX: &str = "loftcove/";
-/// Records that a follower may be behind before it is sent everything anew.
+/// Number of records by which a follower may lag before all records are sent to it again.
 const BACKLOG: usize = 1_024;
 
-/// The copy, shared by whoever fills and reads it.
+/// The copy, shared by the tasks that update and read it.
 pub struct Mirror {
     origin: boot::Instant,
     state: Mutex<mirror::Mirror>,
-    news: broadcast::Sender<mirror::Record>,
+    updates: broadcast::Sender<mirror::Record>,
     changes: channel::Sender<u64>,
-    /// Times at which a call to the store got no answer after one that was answered.
-    silences: channel::Sender<u64>,
-    /// The store's newest era that a listing told, and when it began to differ from what
-    /// was known, if it did.
+    /// Counter whose changes make all watches retry their calls. It is incremented when a call to
+    /// the store gets no answer after one that was answered, and when the host was suspended.
+    retry_signal: channel::Sender<u64>,
+    /// Newest era of the store's listings, and when it was first seen if another one was known
+    /// before.
     era: Mutex<Option<(u32, Option<boot::Instant>)>>,
     /// Whether the store answers this host.
     pub health: Health,
-    /// How far it is from the store over peers.
+    /// Distance from the store over peers.
     pub distance: distance::Distance,
     /// Backend servers that ended under requests.
     pub ends: ends::Ends,
     /// Rate limits of backend servers that were lifted.
     pub lifts: lifts::Lifts,
-    /// How its watches of the store get on.
+    /// State of the watches of the store.
     pub progress: progress::Progress,
-    /// What is logged of records that are learnt.
-    learnt: learnt::Learnt,
-    /// Who follows this host.
+    /// Logger of learnt records.
+    learnt: learnt::Logger,
+    /// Hosts that follow this one.
     pub followers: followers::Followers,
-    /// Peers that are followed at present.
+    /// Number of peers that are followed at present.
     followed: AtomicUsize,
-    /// When these were last enough to rely on.
+    /// When the followed peers were last sufficient to rely on.
     relied: register::Relied,
 }
 
-/// Where a record was heard of, for the log.
+/// Source of a record, for log lines.
 #[derive(Debug, Clone, Copy)]
 pub enum Source<'a> {
     /// The store itself.
@@ -94,9 +97,9 @@
         Mirror {
             origin: boot::Instant::now(),
             state: Mutex::default(),
-            news: broadcast::Sender::new(BACKLOG),
+            updates: broadcast::Sender::new(BACKLOG),
             changes: channel::Sender::new(0),
-            silences: channel::Sender::new(0),
+            retry_signal: channel::Sender::new(0),
             era: Mutex::default(),
             health: Health::default(),
             distance: distance::Distance::default(),
@@ -105,7 +108,7 @@
             progress: progress::Progress::default(),
             followers: followers::Followers::default(),
             followed: AtomicUsize::new(0),
-            learnt: learnt::Learnt::default(),
+            learnt: learnt::Logger::default(),
             relied: register::Relied::default(),
         }
     }
@@ -113,7 +116,7 @@
 
 impl Mirror {
     fn lock(&self) -> MutexGuard<'_, mirror::Mirror> {
-        // Each change is one insertion; a panic cannot leave half of one.
+        // Each change is one insertion, so a panic cannot leave it incomplete.
         self.state.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
@@ -121,27 +124,27 @@
         clock::Instant::from_micros(self.origin.elapsed().as_micros() as u64)
     }
 
-    /// A listing was of that era of the store.
-    fn note_era(&self, era: u32) {
+    /// Records the era of a listing.
+    fn observe_era(&self, era: u32) {
         let newest = self.lock().newest_revision("");
         // Each change is one assignment.
         let mut known = self.era.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
-        let of_peers = (!newest.is_zero()).then_some(newest.era);
-        let before = known.map(|(before, _)| before).or(of_peers);
+        let from_peers = (!newest.is_zero()).then_some(newest.era);
+        let before = known.map(|(before, _)| before).or(from_peers);
         if before.is_none_or(|before| before < era) {
             *known = Some((era, before.map(|_| boot::Instant::now())));
         }
     }
 
-    /// For how much longer owners may still have to write again what the store lost as
-    /// its era began.
+    /// Returns for how much longer owners may have to rewrite the entries that the store lost when
+    /// its era began, if they may have to.
     fn era_grace(&self) -> Option<std::time::Duration> {
         let known = *self.era.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
         let (_, since) = known?;
-        health::RETURN_TIME.checked_sub(since?.elapsed())
+        health::RECOVERY_TIME.checked_sub(since?.elapsed())
     }
 
-    /// Takes records; those that are news are handed on.
+    /// Applies records and forwards those that are new.
     pub fn apply(&self, records: Vec<mirror::Record>, source: Source<'_>) {
         let now = self.now();
         let mut state = self.lock();
@@ -152,8 +155,8 @@
             }
             count += 1;
             self.learnt.log(&record, source);
-            // Nobody may be following at present.
-            self.news.send(record).unwrap_or_default();
+            // Sending fails if no stream is subscribed.
+            self.updates.send(record).unwrap_or_default();
         }
         drop(state);
         if count > 0 {
@@ -161,152 +164,158 @@
         }
     }
 
-    /// The store answered a call of a watch.
+    /// Records that the store answered a call of a watch.
     fn watch_answered(&self, prefix: &'static str) {
         if let Some(silent) = self.progress.answered(prefix) {
             let ms = silent.as_millis();
-            log::info!("watch answered again prefix={prefix} silent_ms={ms}");
+            log::info!("watch recovered prefix={prefix} silent_ms={ms}");
         }
         self.distance.set_answered(self.progress.all_answered());
         self.store_answered();
     }
 
-    /// A call of a watch failed. Those who follow this host learn that it may
-    /// miss changes.
+    /// Records that a call of a watch failed. The followers of this host are informed, through its
+    /// distance, that it may miss changes.
     fn watch_failed(&self, prefix: &'static str, error: &store::Error) {
         let first = self.progress.failed(prefix);
         self.distance.set_answered(false);
         if first {
-            self.doubt(error);
+            self.retry_watches(error);
         }
     }
 
-    /// Has all watches asked again after a first call that got no answer. A
-    /// refusal is an answer.
-    fn doubt(&self, error: &store::Error) {
+    /// Makes all watches retry their calls after the first of consecutive calls that got no answer.
+    /// A rejection counts as an answer.
+    fn retry_watches(&self, error: &store::Error) {
         if matches!(error, store::Error::Lost(_)) {
-            self.silences.send_modify(|count| *count += 1);
+            self.retry_signal.send_modify(|count| *count += 1);
         }
     }
 
-    /// The host was suspended: calls that wait were sent before, and their timers
-    /// are late, so all watches are asked again.
+    /// Makes all watches retry their calls after the host was suspended: waiting calls were sent
+    /// before the suspension, and their timers are late.
     pub fn resumed_from_suspend(&self, suspended: std::time::Duration) {
         log::warn!("host suspended ms={} next=ask-again", suspended.as_millis());
-        self.silences.send_modify(|count| *count += 1);
+        self.retry_signal.send_modify(|count| *count += 1);
     }
 
-    /// The store answered a call. That says nothing of the watches, which are on
-    /// connections of their own.
+    /// Records that the store answered a call. That doesn't show that the watches work, as they use
+    /// other connections.
     fn store_answered(&self) {
         let before = self.health.available();
         self.health.answered();
         if !before {
-            self.tell_waiting();
-            // Who has no peer within reach may watch again.
+            self.log_waiting_watches();
+            // Without a peer that reaches the store, this host may have to watch again.
             self.changes.send_modify(|version| *version += 1);
         }
     }
 
-    /// Tells of watches that were sent before the store was back: nothing says
-    /// that it knows of them.
-    fn tell_waiting(&self) {
+    /// Logs the watch calls that were sent before the end of an outage: the store may not have
+    /// received them.
+    fn log_waiting_watches(&self) {
         for (prefix, watch) in self.progress.watches() {
             if let Some(waited) = watch.waited() {
                 let ms = waited.as_millis();
-                log::info!("watch waits since before the outage's end prefix={prefix} ms={ms}");
+                log::info!("watch call predates the end of the outage prefix={prefix} ms={ms}");
             }
         }
     }
 
-    /// A call to the store failed.
+    /// Records that a call to the store failed.
     fn store_failed(&self, error: &store::Error) {
         let before = self.health.available();
         self.health.failed(error);
         self.distance.set_answered(false);
         if before {
-            self.doubt(error);
+            self.retry_watches(error);
         }
     }
 
-    /// A peer that is followed told its distance from the store.
-    fn peer_at(&self, peer: &str, distance: u32) {
+    /// Records the distance from the store that a followed peer reported.
+    fn set_peer_distance(&self, peer: &str, distance: u32) {
         let before = self.distance.peers_reach_store();
         self.distance.set_peer(peer, distance);
         let now = self.distance.peers_reach_store();
         if before != now {
-            log::info!("peers reach the store reach={now} peer={peer} distance={distance}");
+            log::info!(
+                "reachability of the store through peers changed reach={now} peer={peer} distance={distance}"
+            );
             self.changes.send_modify(|version| *version += 1);
         }
     }
 
-    /// Counts a peer that is followed until the guard is dropped.
-    fn followed<'a>(&'a self, peer: &'a str) -> Followed<'a> {
+    /// Counts a peer as followed until the guard is dropped.
+    fn count_followed<'a>(&'a self, peer: &'a str) -> Followed<'a> {
         self.followed.fetch_add(1, Ordering::Relaxed);
         Followed { mirror: self, peer }
     }
 
-    /// Number of changes so far.
+    /// Returns the number of changes so far.
     pub fn version(&self) -> u64 {
         *self.changes.borrow()
     }
 
-    /// Follows the number of changes so far.
+    /// Subscribes to the number of changes so far.
     pub fn subscribe(&self) -> channel::Receiver<u64> {
         self.changes.subscribe()
     }
 
-    /// Records with a value of so many bytes or more.
-    fn larger_than(&self, bytes: usize) -> Vec<mirror::Record> {
+    /// Returns the records with a value of at least `min_bytes` bytes.
+    fn records_of_size(&self, min_bytes: usize) -> Vec<mirror::Record> {
         let large = |record: &mirror::Record| {
-            record.value.as_ref().is_some_and(|value| value.len() >= bytes)
+            record.value.as_ref().is_some_and(|value| value.len() >= min_bytes)
         };
         self.lock().records().filter(large).collect()
     }
 
-    /// All records and, from then on, each new one.
+    /// Returns all records, and a channel that receives each later one.
     pub fn follow(&self) -> (Vec<mirror::Record>, broadcast::Receiver<mirror::Record>) {
         let state = self.lock();
-        (state.records().collect(), self.news.subscribe())
+        (state.records().collect(), self.updates.subscribe())
     }
 
-    /// The value of a key.
+    /// Returns the value of a key.
     pub fn get(&self, key: &str) -> Option<Bytes> {
         self.lock().get(key).cloned()
     }
 
-    /// What is known of a key, a removal included.
+    /// Returns the newest known record of a key, which may be a removal.
     pub fn newest_of(&self, key: &str) -> Option<mirror::Record> {
         self.lock().newest_of(key)
     }
 
-    /// A key that has a value.
+    /// Returns the record of a key, if it has a value.
     pub fn record(&self, key: &str) -> Option<mirror::Record> {
         self.lock().record(key)
     }
 
-    /// Keys below a prefix with their values and revisions.
+    /// Returns the records below a prefix that have a value.
     pub fn below(&self, prefix: &str) -> Vec<mirror::Record> {
         self.lock().below(prefix).collect()
     }
 
-    /// Lets removals and older values take effect that were held for long enough; runs
-    /// until the process ends.
+    /// Applies deferred removals and values when they are due; runs until the process exits.
     pub async fn expire(self: Arc<Mirror>) {
         let mut changes = self.subscribe();
         loop {
             let now = self.now();
             let removed = self.lock().expire(now);
             for record in &removed {
-                let what = if record.value.is_some() { "value" } else { "removal" };
-                log::info!("{what} held back is over key={}", record.key);
-                self.news.send(record.clone()).unwrap_or_default();
+                let event = if record.value.is_some() {
+                    "deferred value applied"
+                } else {
+                    "removal held back is over"
+                };
+                log::info!("{event} key={}", record.key);
+                self.updates.send(record.clone()).unwrap_or_default();
             }
             if !removed.is_empty() {
                 self.changes.send_modify(|version| *version += removed.len() as u64);
             }
             let next = self.lock().next_expiry();
-            let wait = next.map(|due| due.since(now)).unwrap_or(IDLE_WAIT).min(IDLE_WAIT);
+            let wait =
+                next.map(|due| due.since(now)).unwrap_or(MAX_EXPIRY_WAIT).min(MAX_EXPIRY_WAIT);
             tokio::select! {
                 () = tokio::time::sleep(wait) => {}
                 _ = changes.changed() => {}
@@ -315,7 +324,7 @@
     }
 }
 
-/// A peer that is followed.
+/// Guard of a followed peer.
 struct Followed<'a> {
     mirror: &'a Mirror,
     peer: &'a str,
@@ -325,10 +334,10 @@
     fn drop(&mut self) {
         self.mirror.followed.fetch_sub(1, Ordering::Relaxed);
         self.mirror.distance.forget_peer(self.peer);
-        // Whoever relied on peers may have to watch the store now.
+        // This host may have relied on the peer, and may have to watch the store now.
         self.mirror.changes.send_modify(|version| *version += 1);
     }
 }
 
-/// Longest time between two looks for removals that are due.
-const IDLE_WAIT: std::time::Duration = std::time::Duration::from_secs(10);
+/// Longest time between two checks for deferred removals and values that are due.
+const MAX_EXPIRY_WAIT: std::time::Duration = std::time::Duration::from_secs(10);
--- a/mirror/src/progress.rs
+++ b/mirror/src/progress.rs
@@ -1,8 +1,8 @@
-//! How the watches of the store get on: since when each waits, when the store
-//! last answered it, and how often no answer came.
+//! State of the watches of the store: since when each waits, when the store last answered it, and
+//! how many of its calls failed.
 //!
-//! That the store answers other calls says nothing of a watch that waits: its
-//! call, or the answer to it, may be lost while its connection stays open.
+//! Answers to other calls don't show that a waiting watch still works: its call, or the answer to
+//! it, may be lost while its connection stays open.
 
 use loftcove_clock as boot;
 use std::collections::BTreeMap;
@@ -15,71 +15,71 @@
     watches: Mutex<BTreeMap<&'static str, Watch>>,
 }
 
-/// The watch of one prefix.
+/// State of the watch of one prefix.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Watch {
-    /// Since when a call of it waits for its answer.
-    waits: Option<boot::Instant>,
-    /// When the store last answered it.
-    answered: Option<boot::Instant>,
-    /// Calls that got no answer, or that the store refused.
+    /// Time since which a call waits for its answer.
+    waiting_since: Option<boot::Instant>,
+    /// Time of the store's last answer.
+    answered_at: Option<boot::Instant>,
+    /// Number of calls that got no answer, or that the store rejected.
     pub lost: u64,
     /// Whether the last call was answered.
-    heard: bool,
+    last_call_answered: bool,
 }
 
 impl Watch {
-    /// How long the present call has been waiting.
+    /// Returns how long the current call has been waiting.
     pub fn waited(&self) -> Option<Duration> {
-        self.waits.map(|since| since.elapsed())
+        self.waiting_since.map(|since| since.elapsed())
     }
 
-    /// How long ago the store answered last.
+    /// Returns the time since the store's last answer.
     pub fn answer_age(&self) -> Option<Duration> {
-        self.answered.map(|at| at.elapsed())
+        self.answered_at.map(|at| at.elapsed())
     }
 }
 
 impl Progress {
-    /// The watches, by their prefix.
+    /// Returns the watches by prefix.
     pub fn watches(&self) -> BTreeMap<&'static str, Watch> {
         self.lock().clone()
     }
 
-    /// A call waits until the guard is dropped.
+    /// Records that a call waits until the guard is dropped.
     pub fn wait(&self, prefix: &'static str) -> Wait<'_> {
-        self.lock().entry(prefix).or_default().waits = Some(boot::Instant::now());
+        self.lock().entry(prefix).or_default().waiting_since = Some(boot::Instant::now());
         Wait { progress: self, prefix }
     }
 
-    /// The store answered a call. Returns how long it had been silent, if the
-    /// call before got no answer.
+    /// Records that the store answered a call. Returns the time since the answer before, if the
+    /// previous call failed.
     pub fn answered(&self, prefix: &'static str) -> Option<Duration> {
         let mut watches = self.lock();
         let watch = watches.entry(prefix).or_default();
-        let silent = watch.answer_age().filter(|_| !watch.heard);
-        watch.answered = Some(boot::Instant::now());
-        watch.heard = true;
+        let silent = watch.answer_age().filter(|_| !watch.last_call_answered);
+        watch.answered_at = Some(boot::Instant::now());
+        watch.last_call_answered = true;
         silent
     }
 
-    /// A call got no answer, or the store refused it. Returns whether the call
-    /// before was answered.
+    /// Records that a call got no answer, or that the store rejected it. Returns whether the
+    /// previous call was answered.
     pub fn failed(&self, prefix: &'static str) -> bool {
         let mut watches = self.lock();
         let watch = watches.entry(prefix).or_default();
         watch.lost += 1;
-        std::mem::take(&mut watch.heard)
+        std::mem::take(&mut watch.last_call_answered)
     }
 
-    /// The prefix is not watched any more.
+    /// Removes the watch of a prefix that is no longer watched.
     pub fn forget(&self, prefix: &'static str) {
         self.lock().remove(prefix);
     }
 
-    /// Whether the last call of each watch was answered.
+    /// Returns whether the last call of each watch was answered.
     pub fn all_answered(&self) -> bool {
-        self.lock().values().all(|watch| watch.heard)
+        self.lock().values().all(|watch| watch.last_call_answered)
     }
 
     fn lock(&self) -> MutexGuard<'_, BTreeMap<&'static str, Watch>> {
@@ -88,7 +88,7 @@
     }
 }
 
-/// A call that waits.
+/// Guard of a waiting call.
 #[derive(Debug)]
 pub struct Wait<'a> {
     progress: &'a Progress,
@@ -98,7 +98,7 @@
 impl Drop for Wait<'_> {
     fn drop(&mut self) {
         if let Some(watch) = self.progress.lock().get_mut(self.prefix) {
-            watch.waits = None;
+            watch.waiting_since = None;
         }
     }
 }
--- a/mirror/src/serve.rs
+++ b/mirror/src/serve.rs
@@ -133,7 +133,7 @@
             }
             _ = distance.changed() => continue,
             _ = offers.tick(), if reach == Reach::Far => {
-                batch = mirror.larger_than(LARGE);
+                batch = mirror.records_of_size(LARGE);
                 continue;
             }
             () = sender.closed() => return,
--- a/mirror/src/watch.rs
+++ b/mirror/src/watch.rs
@@ -1,10 +1,10 @@
-//! Watches the store and fills the copy.
+//! Watches the store and applies its changes to the mirror.
 //!
-//! A watch is one call after the other, and only the answer to a call shows
-//! that the store knows of it: the call may have come while the store was away,
-//! or its connection may have fallen silent, and neither is told. So each call
-//! is short against the time within which changes are to be in force, and one
-//! that is overdue is made again, after the same revision, on a new connection.
+//! A watch is a sequence of long-poll calls. Only the answer to a call shows that the store
+//! received it: the call may have been sent during an outage of the store, or its connection may
+//! silently drop packets, and no error reports either. Therefore each call is short compared with
+//! the time within which changes must be in force. An overdue call is retried on a new connection,
+//! after the same revision.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,72 +16,73 @@
 
 use crate::{Mirror, Source};
 
-/// Part of the bound for a change that one call waits. Longer calls are fewer.
-const CHANGE_PART: f64 = 0.7;
-/// Part of the bound after which an answer is overdue: a hundred times what the
-/// store takes. What both parts leave of the bound is for the pause and the call
-/// after it, which brings the change: a host that nobody else tells keeps the
-/// bound.
-const ANSWER_PART: f64 = 0.2;
-/// Least part of its wait that the first call after a change takes, by lot. All
-/// hosts make that call at the same time; where all are lost together, the one
-/// that is overdue first has the others told by peers.
-const LEAST_LOT: f64 = 0.25;
-/// Time that a call waits for a change after one that failed.
-const PROBE: Duration = Duration::from_millis(50);
-/// Pause after changes before the next watch, so that those that come one after
-/// the other, as when all hosts start, cost one call together. The first of
-/// them is never delayed, and the bounds for all are seconds.
-const BATCH: Duration = Duration::from_millis(150);
-/// Pause after a failed call, from the first to the longest. All hosts come
-/// back at once after an outage, so each waits a part of it by lot.
-const PAUSE: (Duration, Duration) = (Duration::from_millis(100), Duration::from_millis(800));
+/// Time for which one call waits for a change, as a fraction of the bound for a change. Longer
+/// waits need fewer calls.
+const CHANGE_WAIT_FRACTION: f64 = 0.7;
+/// Time after the wait at which an answer is overdue, as a fraction of the bound: a hundred times
+/// what the store takes. The rest of the bound is left for the retry delay and for the next call,
+/// which returns the change, so that a host that no peer updates keeps the bound.
+const ANSWER_TIMEOUT_FRACTION: f64 = 0.2;
+/// Lower limit of the random fraction of its wait for which the first call after a change waits.
+/// All hosts make that call at the same time. If all these calls are lost, the host whose call is
+/// overdue first gets the change and passes it on to the others as their peer.
+const MIN_FIRST_WAIT_FRACTION: f64 = 0.25;
+/// Time for which a call that follows a failed one waits for a change.
+const PROBE_WAIT: Duration = Duration::from_millis(50);
+/// Delay between changes and the next call, so that changes in quick succession, as when all hosts
+/// start, cost one call together. The first of them is never delayed, and the bounds for all of
+/// them are seconds.
+const BATCH_DELAY: Duration = Duration::from_millis(150);
+/// Initial and longest delay after a failed call. All hosts reconnect at the same time after an
+/// outage, so each waits a random fraction of the delay.
+const RETRY_DELAY: (Duration, Duration) = (Duration::from_millis(100), Duration::from_millis(800));
 
-/// Longest part of a rest that the store asks for by which a host comes back later:
-/// all that it refused together come one after the other.
-const REST_SPREAD: f64 = 0.25;
+/// Upper limit of the random extension of a *rest*, the time that the store asks a client to wait,
+/// as a fraction of the rest. It spreads the calls of hosts that the store rejected at the same
+/// time.
+const REST_JITTER: f64 = 0.25;
 
-/// Longest time between two looks whether the watch is wanted.
-const LOOK: Duration = Duration::from_millis(500);
+/// Longest time between two checks whether the watch is wanted.
+const WANTED_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What is watched.
+/// Prefix to watch, with its bound.
 #[derive(Debug, Clone, Copy)]
 pub struct Subject {
     /// Prefix of the keys.
     pub prefix: &'static str,
-    /// Longest time within which a change is to be in force.
+    /// Time within which a change must be in force.
     pub bound: Duration,
-    /// Whether the keys are entries, each of which is whole by itself: where the store has
-    /// lost some, an older value is held until its owner has written again.
+    /// Whether the keys are entries, each of which is self-contained. If the store lost writes,
+    /// an older value of an entry is deferred until its owner has written it again.
     pub entries: bool,
 }
 
 impl Subject {
-    /// How long a call may take.
+    /// Returns how long a call waits for a change and for its answer.
     fn wait(&self, call: Call) -> store::Wait {
-        let longest = self.bound.mul_f64(CHANGE_PART);
+        let longest = self.bound.mul_f64(CHANGE_WAIT_FRACTION);
         let change = match call {
-            Call::First => longest.mul_f64(rand::rng().random_range(LEAST_LOT..1.0)),
+            Call::First => longest.mul_f64(rand::rng().random_range(MIN_FIRST_WAIT_FRACTION..1.0)),
             Call::Next => longest,
-            Call::Probe => PROBE,
+            Call::Probe => PROBE_WAIT,
         };
-        store::Wait { change, answer: self.bound.mul_f64(ANSWER_PART) }
+        store::Wait { change, answer: self.bound.mul_f64(ANSWER_TIMEOUT_FRACTION) }
     }
 }
 
-/// Which call of a watch it is.
+/// Kind of a call, by the call before it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Call {
-    /// The first after a listing or a change.
+    /// The first call after a listing or a change.
     First,
-    /// One after a call that was answered without a change.
+    /// A call after one that was answered without a change.
     Next,
-    /// One after a call that failed: it shows soon whether the store hears of
-    /// the watch, and brings what was missed.
+    /// A call after one that failed. It soon shows whether the store receives calls, and returns
+    /// the changes that were missed.
     Probe,
 }
 
-/// Watches a prefix until the process ends, while `wanted` says so.
+/// Watches a prefix while `wanted` returns true; runs until the process exits.
 pub async fn run<S: Store>(
     mirror: Arc<Mirror>,
     store: Arc<S>,
@@ -89,7 +90,7 @@
     wanted: impl Fn(&Mirror) -> bool + Send + 'static,
 ) {
     let prefix = subject.prefix;
-    let mut pause = PAUSE.0;
+    let mut retry_delay = RETRY_DELAY.0;
     let mut changed = mirror.subscribe();
     loop {
         if !wanted(&mirror) {
@@ -100,73 +101,73 @@
                         return;
                     }
                 }
-                () = tokio::time::sleep(LOOK) => {}
+                () = tokio::time::sleep(WANTED_CHECK_INTERVAL) => {}
             }
             continue;
         }
         match store.list(prefix).await {
             Ok(listing) => {
                 mirror.watch_answered(prefix);
-                pause = PAUSE.0;
+                retry_delay = RETRY_DELAY.0;
                 let revision = listing.revision;
-                take(&mirror, subject, listing);
-                changes(&mirror, &*store, subject, revision, &wanted).await;
+                apply_listing(&mirror, subject, listing);
+                follow_changes(&mirror, &*store, subject, revision, &wanted).await;
             }
             Err(error) => {
                 mirror.watch_failed(prefix, &error);
                 mirror.store_failed(&error);
-                wait(&mut pause, subject, Some(&error)).await;
+                back_off(&mut retry_delay, subject, Some(&error)).await;
             }
         }
     }
 }
 
-/// Waits before the next call, and no less than the store has asked for: its
-/// own word goes before a figure of ours. A host that waited for longer than a
-/// change may take would miss it by that alone, so that bounds what is heeded.
-async fn wait(pause: &mut Duration, subject: Subject, error: Option<&store::Error>) {
+/// Waits before the next call, at least for the rest that the store asked for: the store's figure
+/// takes precedence over the local delay. The applied rest is limited to the bound for a change, as
+/// a host that waited for longer would miss the bound for that reason alone.
+async fn back_off(delay: &mut Duration, subject: Subject, error: Option<&store::Error>) {
     let part = rand::rng().random_range(0.5..1.0);
     let rest = error.map_or(Duration::ZERO, store::Error::rest).min(subject.bound);
-    let rest = rest.mul_f64(1.0 + REST_SPREAD * part);
-    tokio::time::sleep(pause.mul_f64(part).max(rest)).await;
-    *pause = (*pause * 2).min(PAUSE.1);
+    let rest = rest.mul_f64(1.0 + REST_JITTER * part);
+    tokio::time::sleep(delay.mul_f64(part).max(rest)).await;
+    *delay = (*delay * 2).min(RETRY_DELAY.1);
 }
 
-/// Takes a listing: what is not on it is gone.
-fn take(mirror: &Mirror, subject: Subject, listing: store::Listing) {
-    mirror.note_era(listing.revision.era);
+/// Applies a complete listing. Known keys that it lacks are removed.
+fn apply_listing(mirror: &Mirror, subject: Subject, listing: store::Listing) {
+    mirror.observe_era(listing.revision.era);
     let keys: Vec<Arc<str>> = listing.items.iter().map(|item| item.key.clone()).collect();
-    let gone = mirror.lock().missing(subject.prefix, &keys, listing.revision);
-    let mut records: Vec<Record> = listing.items.into_iter().map(put).collect();
+    let missing = mirror.lock().missing(subject.prefix, &keys, listing.revision);
+    let mut records: Vec<Record> = listing.items.into_iter().map(record_of).collect();
     if let Some(grace) = mirror.era_grace() {
         let due = mirror.now() + grace;
-        records.retain(|record| !hold(mirror, record, due, subject.entries));
+        records.retain(|record| !defer(mirror, record, due, subject.entries));
     }
     mirror.apply(records, Source::Store);
-    for key in gone {
-        remove(mirror, key, listing.revision);
+    for key in missing {
+        apply_removal(mirror, key, listing.revision);
     }
     mirror.lock().set_listed(subject.prefix, listing.revision);
 }
 
-/// Holds a value back that the store may have come back with, while whoever wrote the key
-/// last knows better. Returns whether it is held.
-fn hold(mirror: &Mirror, record: &Record, due: clock::Instant, changed: bool) -> bool {
-    let held = mirror.lock().defer(record, due, changed);
-    if held {
-        log::info!("value held back key={} revision={}", record.key, record.revision);
+/// Defers a value that the store may have reverted to after it lost writes; the last writer of the
+/// key may write it again. Returns whether the value was deferred.
+fn defer(mirror: &Mirror, record: &Record, due: clock::Instant, changed: bool) -> bool {
+    let deferred = mirror.lock().defer(record, due, changed);
+    if deferred {
+        log::info!("value deferred key={} revision={}", record.key, record.revision);
         mirror.changes.send_modify(|version| *version += 1);
     }
-    held
+    deferred
 }
 
-fn put(item: store::Item) -> Record {
+fn record_of(item: store::Item) -> Record {
     Record { key: item.key, revision: item.revision, value: Some(item.value) }
 }
 
-/// Takes a removal, at once or held back for as long as the entry may lapse
-/// for an outage alone.
-fn remove(mirror: &Mirror, key: Arc<str>, revision: store::Revision) {
+/// Applies a removal, or defers it while an outage of the store alone may explain that the entry
+/// expired.
+fn apply_removal(mirror: &Mirror, key: Arc<str>, revision: store::Revision) {
     match mirror.health.grace().max(mirror.era_grace()) {
         Some(grace) => {
             log::info!("removal held back key={key} revision={revision} ms={}", grace.as_millis());
@@ -178,8 +179,9 @@
     }
 }
 
-/// Follows the changes until the history is gone, or this is not wanted any more.
-async fn changes<S: Store>(
+/// Follows the changes until the store has discarded the history after `after`, or until the watch
+/// is no longer wanted.
+async fn follow_changes<S: Store>(
     mirror: &Mirror,
     store: &S,
     subject: Subject,
@@ -187,77 +189,81 @@
     wanted: &(impl Fn(&Mirror) -> bool + Send),
 ) {
     let prefix = subject.prefix;
-    let mut pause = PAUSE.0;
+    let mut retry_delay = RETRY_DELAY.0;
     let mut call = Call::First;
     while wanted(mirror) {
-        match ask(mirror, store, subject, after, call).await {
-            Answer::Changes(changes) if changes.events.is_empty() => {
+        match call_watch(mirror, store, subject, after, call).await {
+            Reply::Changes(changes) if changes.events.is_empty() => {
                 mirror.watch_answered(prefix);
-                pause = PAUSE.0;
+                retry_delay = RETRY_DELAY.0;
                 after = changes.revision;
                 call = Call::Next;
             }
-            Answer::Changes(changes) => {
+            Reply::Changes(changes) => {
                 mirror.watch_answered(prefix);
-                pause = PAUSE.0;
+                retry_delay = RETRY_DELAY.0;
                 after = changes.revision;
                 call = Call::First;
-                changes.events.into_iter().for_each(|event| apply(mirror, event));
-                tokio::time::sleep(BATCH).await;
+                changes.events.into_iter().for_each(|event| apply_event(mirror, event));
+                tokio::time::sleep(BATCH_DELAY).await;
             }
-            Answer::Failed(store::Error::HistoryGone) => {
-                log::warn!("watch lost its history prefix={prefix} after={after} next=list");
+            Reply::Failed(store::Error::HistoryGone) => {
+                log::warn!(
+                    "store discarded the history of a watch prefix={prefix} after={after} next=list"
+                );
                 return;
             }
-            Answer::Failed(error) => {
-                log::info!("watch lost prefix={prefix} after={after} error=\"{error}\"");
+            Reply::Failed(error) => {
+                log::info!("watch call failed prefix={prefix} after={after} error=\"{error}\"");
                 mirror.watch_failed(prefix, &error);
-                // A waiting call may be cut; that alone says nothing of the store.
+                // A lost connection of a waiting call does not show that the store is unavailable.
                 if !matches!(error, store::Error::Lost(_)) {
                     mirror.store_failed(&error);
                 }
                 call = Call::Probe;
-                wait(&mut pause, subject, Some(&error)).await;
+                back_off(&mut retry_delay, subject, Some(&error)).await;
             }
-            Answer::Doubtful => {
-                log::info!("watch doubted prefix={prefix} after={after} reason=other-call-lost");
+            Reply::Interrupted => {
+                log::info!(
+                    "watch call interrupted prefix={prefix} after={after} reason=other-call-lost"
+                );
                 call = Call::Probe;
-                wait(&mut pause, subject, None).await;
+                back_off(&mut retry_delay, subject, None).await;
             }
         }
     }
 }
 
-/// What came of a call of a watch.
-enum Answer {
+/// Result of a watch call.
+enum Reply {
     /// The store answered.
     Changes(store::Changes),
     /// The call failed.
     Failed(store::Error),
-    /// Another call of this host got no answer while this one waited: whatever
-    /// befell that one may have befallen this one, and would show much later.
-    Doubtful,
+    /// The call was interrupted, as another call of this host got no answer meanwhile, or the host
+    /// was suspended. The same fault may affect this call, and would show only much later.
+    Interrupted,
 }
 
-async fn ask<S: Store>(
+async fn call_watch<S: Store>(
     mirror: &Mirror,
     store: &S,
     subject: Subject,
     after: store::Revision,
     call: Call,
-) -> Answer {
+) -> Reply {
     let _waiting = mirror.progress.wait(subject.prefix);
-    let mut silences = mirror.silences.subscribe();
+    let mut retry_signal = mirror.retry_signal.subscribe();
     let answer = tokio::select! {
         answer = store.watch(subject.prefix, after, subject.wait(call)) => answer,
-        _ = silences.changed() => return Answer::Doubtful,
+        _ = retry_signal.changed() => return Reply::Interrupted,
     };
-    answer.map_or_else(Answer::Failed, Answer::Changes)
+    answer.map_or_else(Reply::Failed, Reply::Changes)
 }
 
-fn apply(mirror: &Mirror, event: store::Event) {
+fn apply_event(mirror: &Mirror, event: store::Event) {
     match event {
-        store::Event::Put(item) => mirror.apply(vec![put(item)], Source::Store),
-        store::Event::Removed { key, revision } => remove(mirror, key, revision),
+        store::Event::Put(item) => mirror.apply(vec![record_of(item)], Source::Store),
+        store::Event::Removed { key, revision } => apply_removal(mirror, key, revision),
     }
 }
