--- a/mirror/src/follow.rs
+++ b/mirror/src/follow.rs
@@ -1,4 +1,7 @@
-//! Follows peers and fills the copy with what they hand on.
+//! Follows peers and applies the updates that they send to the mirror.
+//!
+//! A *follower* is a task that follows one peer at a time; the followers of a host are numbered
+//! from 0.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -17,171 +20,176 @@
 use crate::followers::Peer;
 use crate::{Mirror, Source, peer, register};
 
-/// Longest wait for a connection, which takes milliseconds. The opening packet to
-/// a host that is down is lost, and would only be sent again after a second: while
-/// all hosts start, the next try finds the host up.
+/// Timeout for a connection, which takes milliseconds. The SYN packet to a host that is down is
+/// lost, and would only be sent again after a second. While all hosts start, the next attempt finds
+/// the host up.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// How long a peer that failed is passed over while there are others.
-const PENALTY: Duration = Duration::from_secs(2);
-/// Time for which a record that another zone's peer offers is awaited from the
-/// own zone. It takes milliseconds to pass through a zone; the shortest bound
-/// for a configuration is two seconds.
+/// Time for which a peer that failed is not selected while there are others.
+const FAILURE_BACKOFF: Duration = Duration::from_secs(2);
+/// Minimum time to wait for an offered record to arrive from the own zone, before it is fetched
+/// from the peer in another zone that offers it. A record passes through a zone within
+/// milliseconds; the shortest bound for a configuration is two seconds.
 const OFFER_WAIT: Duration = Duration::from_millis(150);
-/// Longest time for a record to be fetched, until the next offer of it.
+/// Timeout for fetching a record. The peer offers the record again later.
 const FETCH_TIMEOUT: Duration = Duration::from_millis(900);
-/// Longest time for a peer to take what it is told: what comes after it must still
-/// reach another one within the three seconds in which all are to know.
+/// Timeout for a `Tell` call. Later marks must still reach another peer within the three seconds in
+/// which all hosts are to receive them.
 const TELL_TIMEOUT: Duration = Duration::from_millis(900);
-/// How long after a failure a peer is not a reason to leave another one.
-const RETURN_PENALTY: Duration = Duration::from_secs(10);
-/// Pause between two tries.
-const PAUSE: Duration = Duration::from_millis(150);
+/// Time after a failure of a peer in which no follower switches to it from another peer.
+const SWITCH_BACKOFF: Duration = Duration::from_secs(10);
+/// Delay between two attempts.
+const RETRY_DELAY: Duration = Duration::from_millis(150);
 
-/// Who follows.
+/// The local host, which follows its peers.
 #[derive(Debug, Clone)]
 pub struct LocalHost {
     /// Name of the host.
     pub name: Arc<str>,
     /// Its availability zone.
     pub zone: Arc<str>,
-    /// Its own address for peers, if it has followers itself.
+    /// Address for its peers, if it can have followers itself.
     pub address: Option<SocketAddr>,
 }
 
-/// The peers of a host, and which of them it follows.
+/// The known peers of a host, and those that it follows.
 pub struct Peers {
-    own: LocalHost,
+    local: LocalHost,
     seeds: Mutex<Vec<SocketAddr>>,
-    /// Peers that are followed, by the number of the follower.
-    used: Mutex<BTreeMap<usize, SocketAddr>>,
+    /// Peers that are followed, by number of the follower.
+    in_use: Mutex<BTreeMap<usize, SocketAddr>>,
     failed: Mutex<BTreeMap<SocketAddr, boot::Instant>>,
-    /// What each follower was told as it was last redirected.
+    /// Last redirect of each follower that no peer has accepted since.
     redirected: Mutex<BTreeMap<usize, Redirected>>,
 }
 
-/// Followers of ours that hosts had no place for.
+/// Redirect of a follower by peers that had no slot for it.
 #[derive(Debug, Default)]
 struct Redirected {
-    /// How often in a row.
+    /// Number of consecutive redirects.
     times: u32,
-    /// Whom it may follow instead.
-    others: Vec<Peer>,
+    /// Peers that it may follow instead.
+    alternatives: Vec<Peer>,
 }
 
-/// Times in a row after which a redirected follower insists.
-const PATIENCE: u32 = 2;
+/// Number of consecutive redirects after which a follower *insists*: the next peer accepts it above
+/// its limit.
+const MAX_REDIRECTS: u32 = 2;
 
-/// How following a peer ended without a failure.
+/// Reason for which a follower left a peer, other than a failure.
 enum End {
-    /// A better one is known.
+    /// A peer in a preferred zone is known.
     Better,
-    /// It has enough followers, and named others.
+    /// The peer has no free slot and returned alternatives.
     Full(Vec<Peer>),
 }
 
 impl Peers {
-    /// Peers known from the settings.
-    pub fn new(own: LocalHost, seeds: Vec<SocketAddr>) -> Peers {
+    /// Creates the peers of a host from the seeds of its settings.
+    pub fn new(local: LocalHost, seeds: Vec<SocketAddr>) -> Peers {
         Peers {
-            own,
+            local,
             seeds: Mutex::new(seeds),
-            used: Mutex::default(),
+            in_use: Mutex::default(),
             failed: Mutex::default(),
             redirected: Mutex::default(),
         }
     }
 
-    /// Takes other seeds.
+    /// Replaces the seeds.
     pub fn set_seeds(&self, seeds: Vec<SocketAddr>) {
         *lock(&self.seeds) = seeds;
     }
 
-    /// Whether a follower should leave a peer since one is known in a zone that
-    /// fits it better: at the start only the seeds are known, and hosts that
-    /// follow one another alone would all miss what one of them misses.
-    fn better_known(&self, mirror: &Mirror, follower: usize, peer: SocketAddr) -> bool {
+    /// Returns whether a follower should leave a peer because a peer in a preferred zone is known.
+    /// At the start only the seeds are known, and hosts that only follow each other would all miss
+    /// an update that one of them misses.
+    fn has_better_peer(&self, mirror: &Mirror, follower: usize, peer: SocketAddr) -> bool {
         let entries = register::entries(mirror);
-        let fits = |zone: &Arc<str>| (*zone == self.own.zone) == (follower == 0);
-        let present = entries.iter().find(|(_, entry)| entry.address == peer);
-        if present.is_none_or(|(_, entry)| fits(&entry.zone)) {
+        let preferred = |zone: &Arc<str>| (*zone == self.local.zone) == (follower == 0);
+        let current = entries.iter().find(|(_, entry)| entry.address == peer);
+        if current.is_none_or(|(_, entry)| preferred(&entry.zone)) {
             return false;
         }
-        let used: Vec<SocketAddr> = lock(&self.used).values().copied().collect();
+        let in_use: Vec<SocketAddr> = lock(&self.in_use).values().copied().collect();
         let failed = lock(&self.failed);
         entries.iter().any(|(_, entry)| {
             let address = entry.address;
-            let taken = Some(address) == self.own.address || used.contains(&address);
-            let sound = failed.get(&address).is_none_or(|at| at.elapsed() > RETURN_PENALTY);
-            fits(&entry.zone) && sound && !taken
+            let excluded = Some(address) == self.local.address || in_use.contains(&address);
+            let healthy = failed.get(&address).is_none_or(|at| at.elapsed() > SWITCH_BACKOFF);
+            preferred(&entry.zone) && healthy && !excluded
         })
     }
 
-    /// Those that a follower may follow instead of one that redirected it.
-    fn named(&self, follower: usize) -> BTreeMap<SocketAddr, Option<Arc<str>>> {
-        let used: Vec<SocketAddr> = lock(&self.used).values().copied().collect();
+    /// Returns the peers that a follower may follow instead of the one that redirected it.
+    fn alternatives(&self, follower: usize) -> BTreeMap<SocketAddr, Option<Arc<str>>> {
+        let in_use: Vec<SocketAddr> = lock(&self.in_use).values().copied().collect();
         let redirected = lock(&self.redirected);
-        let others = redirected.get(&follower).map_or(&[][..], |away| &away.others);
-        let free = others
-            .iter()
-            .filter(|peer| Some(peer.address) != self.own.address && !used.contains(&peer.address));
+        let alternatives =
+            redirected.get(&follower).map_or(&[][..], |redirect| &redirect.alternatives);
+        let free = alternatives.iter().filter(|peer| {
+            Some(peer.address) != self.local.address && !in_use.contains(&peer.address)
+        });
         free.map(|peer| (peer.address, Some(peer.zone.clone()))).collect()
     }
 
-    /// A host had no place for a follower.
-    fn redirect(&self, follower: usize, others: Vec<Peer>) {
+    /// Records that a peer had no slot for a follower.
+    fn record_redirect(&self, follower: usize, alternatives: Vec<Peer>) {
         let mut redirected = lock(&self.redirected);
-        let away = redirected.entry(follower).or_default();
-        *away = Redirected { times: away.times + 1, others };
+        let redirect = redirected.entry(follower).or_default();
+        *redirect = Redirected { times: redirect.times + 1, alternatives };
     }
 
-    /// One of those that were named failed: others are tried, and the next host that
-    /// is full is told so sooner.
-    fn forget_named(&self, follower: usize) {
-        if let Some(away) = lock(&self.redirected).get_mut(&follower) {
-            away.others.clear();
+    /// Discards the alternatives of a follower after one of them failed. Other peers are tried
+    /// instead; the count of redirects stays, so that the follower insists sooner.
+    fn forget_alternatives(&self, follower: usize) {
+        if let Some(redirect) = lock(&self.redirected).get_mut(&follower) {
+            redirect.alternatives.clear();
         }
     }
 
-    /// A follower got a place.
-    fn placed(&self, follower: usize) {
+    /// Records that a peer accepted a follower.
+    fn record_accepted(&self, follower: usize) {
         lock(&self.redirected).remove(&follower);
     }
 
-    /// Whether a follower takes no more for an answer.
+    /// Returns whether a follower insists on being accepted.
     fn insists(&self, follower: usize) -> bool {
-        lock(&self.redirected).get(&follower).is_some_and(|away| away.times >= PATIENCE)
+        lock(&self.redirected)
+            .get(&follower)
+            .is_some_and(|redirect| redirect.times >= MAX_REDIRECTS)
     }
 
-    /// A peer for a follower: the first follower prefers the own zone, the
-    /// others prefer other zones, so that neither side of a cut is forgotten.
-    fn choose(&self, mirror: &Mirror, follower: usize) -> Option<SocketAddr> {
-        let used: Vec<SocketAddr> = lock(&self.used).values().copied().collect();
+    /// Selects a peer for a follower. The first follower prefers the own zone and the others prefer
+    /// other zones, so that the host has peers on both sides of a network partition.
+    fn select(&self, mirror: &Mirror, follower: usize) -> Option<SocketAddr> {
+        let in_use: Vec<SocketAddr> = lock(&self.in_use).values().copied().collect();
         let failed = lock(&self.failed).clone();
         let mut candidates: BTreeMap<SocketAddr, Option<Arc<str>>> =
             lock(&self.seeds).iter().map(|seed| (*seed, None)).collect();
         for (_, entry) in register::entries(mirror) {
             candidates.insert(entry.address, Some(entry.zone));
         }
-        let named = self.named(follower);
-        if !named.is_empty() {
-            candidates = named;
+        let alternatives = self.alternatives(follower);
+        if !alternatives.is_empty() {
+            candidates = alternatives;
         }
-        candidates.retain(|peer, _| Some(*peer) != self.own.address && !used.contains(peer));
-        let sound = |peer: &SocketAddr| failed.get(peer).is_none_or(|at| at.elapsed() > PENALTY);
-        let fits = |zone: &Option<Arc<str>>| {
-            zone.as_ref().is_none_or(|zone| (*zone == self.own.zone) == (follower == 0))
+        candidates.retain(|peer, _| Some(*peer) != self.local.address && !in_use.contains(peer));
+        let healthy =
+            |peer: &SocketAddr| failed.get(peer).is_none_or(|at| at.elapsed() > FAILURE_BACKOFF);
+        let preferred = |zone: &Option<Arc<str>>| {
+            zone.as_ref().is_none_or(|zone| (*zone == self.local.zone) == (follower == 0))
         };
         let tiers: [Vec<SocketAddr>; 3] = [
-            pick(&candidates, |peer, zone| sound(peer) && fits(zone)),
-            pick(&candidates, |peer, _| sound(peer)),
-            pick(&candidates, |_, _| true),
+            addresses_where(&candidates, |peer, zone| healthy(peer) && preferred(zone)),
+            addresses_where(&candidates, |peer, _| healthy(peer)),
+            addresses_where(&candidates, |_, _| true),
         ];
         let tier = tiers.iter().find(|tier| !tier.is_empty())?;
         tier.choose(&mut rand::rng()).copied()
     }
 }
 
-fn pick(
+fn addresses_where(
     candidates: &BTreeMap<SocketAddr, Option<Arc<str>>>,
     wanted: impl Fn(&SocketAddr, &Option<Arc<str>>) -> bool,
 ) -> Vec<SocketAddr> {
@@ -192,41 +200,44 @@
     mutex.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
 }
 
-/// Follows one peer after the other until the process ends.
+/// Runs a follower, which follows one peer after the other; runs until the process exits.
 pub async fn run(mirror: Arc<Mirror>, peers: Arc<Peers>, follower: usize) {
     loop {
-        if let Some(peer) = peers.choose(&mirror, follower) {
-            lock(&peers.used).insert(follower, peer);
-            let better = || peers.better_known(&mirror, follower, peer);
+        if let Some(peer) = peers.select(&mirror, follower) {
+            lock(&peers.in_use).insert(follower, peer);
+            let better = || peers.has_better_peer(&mirror, follower, peer);
             let insists = peers.insists(follower);
-            let placed = || peers.placed(follower);
-            let ended = follow(&mirror, &peers.own, peer, insists, placed, better).await;
-            lock(&peers.used).remove(&follower);
+            let on_accepted = || peers.record_accepted(follower);
+            let ended = follow(&mirror, &peers.local, peer, insists, on_accepted, better).await;
+            lock(&peers.in_use).remove(&follower);
             match ended {
-                Ok(End::Full(others)) => {
-                    log::info!("peer full address={peer} others={}", others.len());
-                    peers.redirect(follower, others);
+                Ok(End::Full(alternatives)) => {
+                    log::info!(
+                        "peer has no free slot address={peer} others={}",
+                        alternatives.len()
+                    );
+                    peers.record_redirect(follower, alternatives);
                     continue;
                 }
                 Ok(End::Better) => {}
                 Err(status) => {
-                    peers.forget_named(follower);
+                    peers.forget_alternatives(follower);
                     lock(&peers.failed).insert(peer, boot::Instant::now());
                     log::info!("dependency lost name=peer address={peer} error=\"{status}\"");
                 }
             }
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
 }
 
-/// Follows a peer until the stream fails, or until a better one is known.
+/// Follows a peer until the stream fails, or until `better` returns true.
 async fn follow(
     mirror: &Mirror,
-    own: &LocalHost,
+    local: &LocalHost,
     address: SocketAddr,
     insists: bool,
-    placed: impl Fn(),
+    on_accepted: impl Fn(),
     better: impl Fn() -> bool,
 ) -> Result<End, tonic::Status> {
     let unreachable = |error: &dyn std::error::Error| tonic::Status::unavailable(error.to_string());
@@ -234,9 +245,9 @@
     let channel = endpoint.connect().await.map_err(|error| unreachable(&error))?;
     let mut client = wire::mirror_client::MirrorClient::new(channel);
     let request = wire::Follower {
-        host: own.name.to_string(),
-        zone: own.zone.to_string(),
-        address: own.address.map_or_else(String::new, |address| address.to_string()),
+        host: local.name.to_string(),
+        zone: local.zone.to_string(),
+        address: local.address.map_or_else(String::new, |address| address.to_string()),
         insists,
     };
     let fetcher = client.clone().accept_compressed(CompressionEncoding::Gzip);
@@ -245,24 +256,24 @@
     if let Some(batch) = first.as_ref().filter(|batch| !batch.others.is_empty()) {
         return Ok(End::Full(batch.others.iter().filter_map(Peer::from_wire).collect()));
     }
-    placed();
+    on_accepted();
     let mut first = Some(first);
     log::info!("dependency regained name=peer address={address}");
     let source = address.to_string();
     let _followed = mirror.count_followed(&source);
     let mut fetches = FuturesUnordered::new();
-    // Who has no followers has nothing of its own to tell either.
-    let teller = async {
-        match own.address {
-            Some(_) => tell(mirror, client.clone()).await,
+    // A host without an address for peers has no marks of its own to send either.
+    let sender = async {
+        match local.address {
+            Some(_) => send_marks(mirror, client.clone()).await,
             None => std::future::pending().await,
         }
     };
-    tokio::pin!(teller);
+    tokio::pin!(sender);
     loop {
         let batch = tokio::select! {
-            batch = next(&mut first, &mut batches) => batch?,
-            status = &mut teller => return Err(status),
+            batch = next_batch(&mut first, &mut batches) => batch?,
+            status = &mut sender => return Err(status),
             Some(fetched) = fetches.next() => {
                 match fetched {
                     Ok(record) => mirror.apply(Vec::from_iter(record), Source::Peer(&source)),
@@ -273,23 +284,23 @@
             }
         };
         let Some(batch) = batch else {
-            return Err(tonic::Status::unavailable("the peer ended the stream"));
+            return Err(tonic::Status::unavailable("peer closed the stream"));
         };
         mirror.set_peer_distance(&source, batch.distance);
         let (offers, items): (Vec<_>, Vec<_>) =
             batch.items.into_iter().partition(|item| item.offered);
-        mirror.apply(items.into_iter().map(record).collect(), Source::Peer(&source));
+        mirror.apply(items.into_iter().map(from_item).collect(), Source::Peer(&source));
         mirror.ends.hear(batch.marks, &source);
         fetches.extend(offers.into_iter().map(|offer| fetch(mirror, fetcher.clone(), offer)));
         if better() {
-            log::info!("peer left address={source} reason=better-zone-known");
+            log::info!("leaving peer address={source} reason=better-zone-known");
             return Ok(End::Better);
         }
     }
 }
 
-/// The first batch, which has come already, and then one after the other.
-async fn next(
+/// Returns the first batch, which was received already, and then the next ones of the stream.
+async fn next_batch(
     first: &mut Option<Option<wire::Batch>>,
     batches: &mut tonic::Streaming<wire::Batch>,
 ) -> Result<Option<wire::Batch>, tonic::Status> {
@@ -299,15 +310,15 @@
     }
 }
 
-/// Tells the peer what is known of servers that ended, and what is found out from
-/// then on, until a call fails. Followers draw their peers by lot, and with three
-/// of them one host in twenty is followed by nobody: without this, its own
-/// finds would stay with it.
-async fn tell(
+/// Sends the marks of servers that ended to the peer, first all known ones and then each new one,
+/// until a call fails. Followers select their peers at random, and with three followers for each
+/// host, one host in twenty has no follower: without these calls, no other host would receive its
+/// marks.
+async fn send_marks(
     mirror: &Mirror,
     mut client: wire::mirror_client::MirrorClient<tonic::transport::Channel>,
 ) -> tonic::Status {
-    let (mut items, mut news) = mirror.ends.follow();
+    let (mut items, mut updates) = mirror.ends.follow();
     loop {
         let marks = items.drain(..).map(|item| mirror.ends.to_wire(&item)).collect::<Vec<_>>();
         if !marks.is_empty() {
@@ -315,42 +326,43 @@
             match call.await {
                 Ok(Ok(_)) => {}
                 Ok(Err(status)) => return status,
-                Err(_) => return tonic::Status::deadline_exceeded("tell"),
+                Err(_) => return tonic::Status::deadline_exceeded("Tell call timed out"),
             }
         }
-        match news.recv().await {
+        match updates.recv().await {
             Ok(item) => items.push(item),
-            Err(broadcast::error::RecvError::Lagged(_)) => (items, news) = mirror.ends.follow(),
-            // The sender lives as long as the process.
+            Err(broadcast::error::RecvError::Lagged(_)) => (items, updates) = mirror.ends.follow(),
+            // Not reached: the sender lives as long as the process.
             Err(broadcast::error::RecvError::Closed) => std::future::pending().await,
         }
-        while let Ok(item) = news.try_recv() {
+        while let Ok(item) = updates.try_recv() {
             items.push(item);
         }
     }
 }
 
-/// Fetches a record that was offered, unless it is heard of elsewhere meanwhile.
+/// Fetches an offered record, unless it is received from elsewhere meanwhile.
 async fn fetch(
     mirror: &Mirror,
     mut client: wire::mirror_client::MirrorClient<tonic::transport::Channel>,
     offer: wire::Item,
 ) -> Result<Option<Record>, tonic::Status> {
-    // Peers of many followers are not asked by all of them at the same time.
+    // The random delay keeps many followers of one peer from fetching at the same time.
     tokio::time::sleep(OFFER_WAIT.mul_f64(1.0 + rand::random::<f64>())).await;
     let known = mirror.newest_of(&offer.key).map_or(Revision::ZERO, |record| record.revision);
     let offered = Revision::new(offer.era, offer.revision);
     if known >= offered {
         return Ok(None);
     }
-    log::info!("fetching key={} revision={offered} known={known}", offer.key);
+    log::info!("fetching record key={} revision={offered} known={known}", offer.key);
     let wanted = wire::Wanted { key: offer.key, revision: offer.revision, era: offer.era };
     let call = tokio::time::timeout(FETCH_TIMEOUT, client.fetch(wanted));
-    let item = call.await.map_err(|_| tonic::Status::deadline_exceeded("fetch"))??;
-    Ok(Some(record(item.into_inner())))
+    let item =
+        call.await.map_err(|_| tonic::Status::deadline_exceeded("Fetch call timed out"))??;
+    Ok(Some(from_item(item.into_inner())))
 }
 
-fn record(item: wire::Item) -> Record {
+fn from_item(item: wire::Item) -> Record {
     let value = (!item.removed).then_some(item.value);
     Record { key: item.key.into(), revision: Revision::new(item.era, item.revision), value }
 }
--- a/mirror/src/followers.rs
+++ b/mirror/src/followers.rs
@@ -1,9 +1,9 @@
-//! Who follows this host, and how many may.
+//! Followers of this host, and their limit.
 //!
-//! The pattern: all hosts of a fleet start at once and know three seeds alone. Each
-//! stream costs memory and the copy, whole, so a seed that takes all of them runs
-//! out of both. One that has enough followers names some of them instead: hosts
-//! form a tree that is as deep as the logarithm of the fleet.
+//! All hosts of a fleet may start at the same time and know only three seeds. Each stream costs
+//! memory and a transfer of the whole copy, so a seed that accepted all followers would run out of
+//! memory and bandwidth. A host at its limit therefore redirects further followers to some of those
+//! that it has. The hosts form a tree whose depth is the logarithm of the fleet's size.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,34 +14,34 @@
 
 use crate::Mirror;
 
-/// Followers that a host takes: several times its even share, so that few are
-/// redirected once all hosts know each other.
+/// Number of followers from which a host redirects further ones: several times its even share, so
+/// that few are redirected once all hosts know each other.
 pub const MAX: usize = 64;
-/// Others that are named to a redirected one.
-const NAMED: usize = 8;
+/// Maximum number of alternatives that a redirected follower receives.
+const MAX_ALTERNATIVES: usize = 8;
 
 /// A host that others can follow.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Peer {
-    /// Its address for peers.
+    /// Address for its peers.
     pub address: SocketAddr,
-    /// Its availability zone.
+    /// Availability zone.
     pub zone: Arc<str>,
 }
 
 impl Peer {
-    /// The peer as the wire has it.
+    /// Returns the wire form of the peer.
     pub fn to_wire(&self) -> wire::Followable {
         wire::Followable { address: self.address.to_string(), zone: self.zone.to_string() }
     }
 
-    /// The peer that a message names, if its address can be read.
+    /// Returns the peer of a message, or `None` if its address is malformed.
     pub fn from_wire(peer: &wire::Followable) -> Option<Peer> {
         Some(Peer { address: peer.address.parse().ok()?, zone: (*peer.zone).into() })
     }
 }
 
-/// The present followers.
+/// The connected followers.
 #[derive(Debug, Default)]
 pub struct Followers {
     state: Mutex<State>,
@@ -50,8 +50,8 @@
 #[derive(Debug, Default)]
 struct State {
     next: u64,
-    /// Those that can be followed themselves have an address.
-    present: BTreeMap<u64, Option<Peer>>,
+    /// The connected followers by number; `None` for one that cannot be followed itself.
+    connected: BTreeMap<u64, Option<Peer>>,
 }
 
 impl Followers {
@@ -60,56 +60,61 @@
         self.state.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
-    /// How many there are.
+    /// Returns the number of connected followers.
     pub fn count(&self) -> usize {
-        self.lock().present.len()
+        self.lock().connected.len()
     }
 
-    /// Hosts that one in that zone may follow instead, where there are enough
-    /// followers here: half of them in its zone, as far as there are so many.
-    fn others(&self, zone: &str) -> Vec<Peer> {
+    /// Returns hosts that a follower in a zone may follow instead, or nothing while there are fewer
+    /// than [`MAX`] followers. Up to half of them are in the follower's zone.
+    fn alternatives(&self, zone: &str) -> Vec<Peer> {
         let state = self.lock();
-        if state.present.len() < MAX {
+        if state.connected.len() < MAX {
             return Vec::new();
         }
-        let peers = || state.present.values().flatten();
+        let peers = || state.connected.values().flatten();
         let mut rng = rand::rng();
-        let near = peers().filter(|peer| *peer.zone == *zone).choose_multiple(&mut rng, NAMED / 2);
-        let far = peers().filter(|peer| *peer.zone != *zone).choose_multiple(&mut rng, NAMED / 2);
-        near.into_iter().chain(far).cloned().collect()
+        let same_zone = peers()
+            .filter(|peer| *peer.zone == *zone)
+            .choose_multiple(&mut rng, MAX_ALTERNATIVES / 2);
+        let other_zones = peers()
+            .filter(|peer| *peer.zone != *zone)
+            .choose_multiple(&mut rng, MAX_ALTERNATIVES / 2);
+        same_zone.into_iter().chain(other_zones).cloned().collect()
     }
 }
 
-/// A follower's place; dropping it makes room.
-pub(crate) struct Place {
+/// Guard of a follower's slot. Dropping it frees the slot.
+pub(crate) struct Slot {
     mirror: Arc<Mirror>,
     number: u64,
 }
 
-impl Place {
-    /// A place for a follower, or others that it is to follow. One that was redirected
-    /// often enough insists, and gets a place in any case.
-    pub(crate) fn take(
+impl Slot {
+    /// Acquires a slot for a follower, or returns the alternatives that it is to follow. A follower
+    /// that was redirected often enough insists, and is accepted above the limit, as is one for
+    /// which there are no alternatives.
+    pub(crate) fn acquire(
         mirror: &Arc<Mirror>,
         follower: &wire::Follower,
-    ) -> Result<Place, Vec<Peer>> {
-        let others = mirror.followers.others(&follower.zone);
-        if !follower.insists && !others.is_empty() {
-            return Err(others);
+    ) -> Result<Slot, Vec<Peer>> {
+        let alternatives = mirror.followers.alternatives(&follower.zone);
+        if !follower.insists && !alternatives.is_empty() {
+            return Err(alternatives);
         }
         let peer =
             wire::Followable { address: follower.address.clone(), zone: follower.zone.clone() };
         let mut state = mirror.followers.lock();
         let number = state.next;
         state.next += 1;
-        state.present.insert(number, Peer::from_wire(&peer));
+        state.connected.insert(number, Peer::from_wire(&peer));
         drop(state);
-        Ok(Place { mirror: mirror.clone(), number })
+        Ok(Slot { mirror: mirror.clone(), number })
     }
 }
 
-impl Drop for Place {
+impl Drop for Slot {
     fn drop(&mut self) {
-        self.mirror.followers.lock().present.remove(&self.number);
+        self.mirror.followers.lock().connected.remove(&self.number);
     }
 }
--- a/mirror/src/serve.rs
+++ b/mirror/src/serve.rs
@@ -1,7 +1,8 @@
-//! Hands the copy on to those who follow it.
+//! Serves the mirror to its followers.
 //!
-//! Followers in other zones are only offered large records: mostly they have
-//! them from a peer of their own zone, and traffic between zones is dear.
+//! A large record is only *offered* to a follower in another zone, by its key and revision. The
+//! follower fetches it if it lacks it. Most followers have received it from a peer in their own
+//! zone, and traffic between zones is expensive.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,25 +16,25 @@
 
 use crate::{Mirror, followers};
 
-/// Batches that may wait for a slow follower.
-const QUEUE: usize = 4;
+/// Number of batches that may be queued for a slow follower.
+const QUEUED_BATCHES: usize = 4;
 
-/// Size from which a record counts as large, bytes: an offer takes a tenth.
-const LARGE: usize = 1_024;
+/// Size from which a record counts as large, in bytes: an offer takes a tenth of that.
+const LARGE_RECORD_BYTES: usize = 1_024;
 
-/// Time between two offers of the same record to a follower in another zone: one
-/// that a follower did not get to fetch is made good well within the shortest
-/// bound for a configuration, two seconds.
+/// Interval at which offers to a follower in another zone are repeated. A record that the follower
+/// could not fetch is offered again well within the shortest bound for a configuration, two
+/// seconds.
 const OFFER_INTERVAL: Duration = Duration::from_millis(800);
 
-/// The service.
+/// The mirror's gRPC service.
 pub struct Service {
     mirror: Arc<Mirror>,
     zone: Arc<str>,
 }
 
 impl Service {
-    /// A service that hands on this copy, of a host in that zone.
+    /// Creates a service for the mirror of a host in a zone.
     pub fn new(mirror: Arc<Mirror>, zone: Arc<str>) -> Service {
         Service { mirror, zone }
     }
@@ -48,20 +49,24 @@
         request: Request<wire::Follower>,
     ) -> Result<Response<Self::FollowStream>, Status> {
         let follower = request.into_inner();
-        let (sender, receiver) = mpsc::channel(QUEUE);
-        match followers::Place::take(&self.mirror, &follower) {
-            Ok(place) => {
-                log::debug!("follower came host={} zone={}", follower.host, follower.zone);
-                let near = *follower.zone == *self.zone;
-                let reach = if near { Reach::Near } else { Reach::Far };
-                tokio::spawn(feed(self.mirror.clone(), reach, sender, place));
+        let (sender, receiver) = mpsc::channel(QUEUED_BATCHES);
+        match followers::Slot::acquire(&self.mirror, &follower) {
+            Ok(slot) => {
+                log::debug!("follower connected host={} zone={}", follower.host, follower.zone);
+                let same_zone = *follower.zone == *self.zone;
+                let locality = if same_zone { Locality::SameZone } else { Locality::OtherZone };
+                tokio::spawn(send_updates(self.mirror.clone(), locality, sender, slot));
             }
-            Err(others) => {
-                log::debug!("follower redirected host={} others={}", follower.host, others.len());
-                let others = others.iter().map(followers::Peer::to_wire).collect();
+            Err(alternatives) => {
+                log::debug!(
+                    "follower redirected host={} others={}",
+                    follower.host,
+                    alternatives.len()
+                );
+                let others = alternatives.iter().map(followers::Peer::to_wire).collect();
                 let distance = self.mirror.distance.get();
                 let batch = wire::Batch { others, distance, ..Default::default() };
-                // The queue is empty, and its reader may have left.
+                // The queue is empty, so sending fails only if the receiver was dropped.
                 sender.try_send(Ok(batch)).unwrap_or_default();
             }
         }
@@ -77,35 +82,35 @@
     async fn fetch(&self, request: Request<wire::Wanted>) -> Result<Response<wire::Item>, Status> {
         let wanted = request.into_inner();
         let record = self.mirror.newest_of(&wanted.key);
-        let least = Revision::new(wanted.era, wanted.revision);
-        let record = record.filter(|record| record.revision >= least);
+        let min_revision = Revision::new(wanted.era, wanted.revision);
+        let record = record.filter(|record| record.revision >= min_revision);
         let record = record.ok_or_else(|| Status::not_found("no such record"))?;
-        Ok(Response::new(item(record, Reach::Near)))
+        Ok(Response::new(to_item(record, Locality::SameZone)))
     }
 }
 
-/// Where a follower is.
+/// Locality of a follower.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Reach {
+enum Locality {
     /// In the same zone.
-    Near,
+    SameZone,
     /// In another zone.
-    Far,
+    OtherZone,
 }
 
-async fn feed(
+async fn send_updates(
     mirror: Arc<Mirror>,
-    reach: Reach,
+    locality: Locality,
     sender: mpsc::Sender<Result<wire::Batch, Status>>,
-    _place: followers::Place,
+    _slot: followers::Slot,
 ) {
-    let (mut batch, mut news) = mirror.follow();
-    let (mut ends, mut ended) = mirror.ends.follow();
+    let (mut batch, mut updates) = mirror.follow();
+    let (mut ends, mut end_updates) = mirror.ends.follow();
     let mut distance = mirror.distance.subscribe();
     let mut offers = tokio::time::interval(OFFER_INTERVAL);
     offers.reset();
     loop {
-        let items = batch.drain(..).map(|record| item(record, reach)).collect();
+        let items = batch.drain(..).map(|record| to_item(record, locality)).collect();
         let marks = ends.drain(..).map(|item| mirror.ends.to_wire(&item)).collect();
         let message = wire::Batch {
             items,
@@ -117,42 +122,42 @@
             return;
         }
         let record = tokio::select! {
-            record = news.recv() => record,
-            end = ended.recv() => {
+            record = updates.recv() => record,
+            end = end_updates.recv() => {
                 match end {
                     Ok(end) => ends.push(end),
                     Err(broadcast::error::RecvError::Lagged(_)) => {
-                        (ends, ended) = mirror.ends.follow();
+                        (ends, end_updates) = mirror.ends.follow();
                     }
                     Err(broadcast::error::RecvError::Closed) => return,
                 }
-                while let Ok(end) = ended.try_recv() {
+                while let Ok(end) = end_updates.try_recv() {
                     ends.push(end);
                 }
                 continue;
             }
             _ = distance.changed() => continue,
-            _ = offers.tick(), if reach == Reach::Far => {
-                batch = mirror.records_of_size(LARGE);
+            _ = offers.tick(), if locality == Locality::OtherZone => {
+                batch = mirror.records_of_size(LARGE_RECORD_BYTES);
                 continue;
             }
             () = sender.closed() => return,
         };
         match record {
             Ok(record) => batch.push(record),
-            Err(broadcast::error::RecvError::Lagged(_)) => (batch, news) = mirror.follow(),
+            Err(broadcast::error::RecvError::Lagged(_)) => (batch, updates) = mirror.follow(),
             Err(broadcast::error::RecvError::Closed) => return,
         }
-        while let Ok(record) = news.try_recv() {
+        while let Ok(record) = updates.try_recv() {
             batch.push(record);
         }
     }
 }
 
-fn item(record: Record, reach: Reach) -> wire::Item {
+fn to_item(record: Record, locality: Locality) -> wire::Item {
     let removed = record.value.is_none();
     let value = record.value.unwrap_or_default();
-    let offered = reach == Reach::Far && value.len() >= LARGE;
+    let offered = locality == Locality::OtherZone && value.len() >= LARGE_RECORD_BYTES;
     wire::Item {
         key: record.key.to_string(),
         revision: record.revision.number,
