--- a/mirror/tests/catalog.rs
+++ b/mirror/tests/catalog.rs
@@ -1,5 +1,5 @@
-//! Backend servers as the mirror's records tell them: what cannot be read
-//! names none, and the others hold.
+//! Parsing of the mirror's records into backend servers: an unreadable entry yields no server and
+//! does not affect the others.
 
 #![allow(clippy::unwrap_used, reason = "a test that fails may panic")]
 
@@ -39,7 +39,7 @@
         self.put(id, entry(born, port).to_string().as_bytes());
     }
 
-    /// Ports of the backend servers that are to be used.
+    /// Returns the ports of the usable backend servers.
     fn ports(&self) -> Vec<u16> {
         self.catalog.servers().map(|server| server.address.port()).collect()
     }
@@ -57,12 +57,12 @@
 }
 
 #[test]
-fn an_entry_that_cannot_be_read_names_none_and_the_others_hold() {
+fn an_unreadable_entry_yields_no_server_and_does_not_affect_others() {
     let mut setup = Setup::default();
     setup.list("i-1", None, 1);
     setup.list("i-2", None, 2);
     assert_eq!(setup.ports(), [1, 2]);
-    // What the key named before is not kept.
+    // The server that the key held before is not kept.
     setup.put("i-1", b"\xff not an entry");
     assert_eq!(setup.ports(), [2]);
     assert_eq!(setup.catalog.unusable(), 1);
@@ -73,32 +73,32 @@
 }
 
 #[test]
-fn thousands_of_strange_entries_leave_the_others() {
+fn thousands_of_unreadable_entries_do_not_affect_others() {
     let mut setup = Setup::default();
     setup.list("i-1", None, 1);
-    let strange: Vec<Record> = (0..3_000)
+    let unreadable: Vec<Record> = (0..3_000)
         .map(|number| Record {
             key: format!("servers/x-{number}").into(),
             revision: Revision::new(0, 10 + number),
             value: Some("{\"service\":7}".into()),
         })
         .collect();
-    setup.mirror.apply(strange, Source::Store);
+    setup.mirror.apply(unreadable, Source::Store);
     setup.catalog.update(&setup.mirror);
     assert_eq!((setup.ports(), setup.catalog.unusable()), (vec![1], 3_000));
 }
 
 #[test]
-fn an_entry_of_an_earlier_start_is_old_news() {
+fn ignores_an_entry_of_an_earlier_start() {
     let mut setup = Setup::default();
     setup.list("i-1", Some(2_000), 2);
-    // Written late by the run of before.
+    // Written late by the previous run.
     setup.list("i-1", Some(1_000), 1);
     assert_eq!(setup.ports(), [2]);
     setup.list("i-1", Some(3_000), 3);
     assert_eq!(setup.ports(), [3]);
     assert_eq!(setup.catalog.servers().next().unwrap().born, Some(3_000));
-    // Also after its entry was gone for a while.
+    // The same holds after the entry was removed for a while.
     setup.write("i-1", None);
     assert!(setup.ports().is_empty());
     setup.list("i-1", Some(2_000), 2);
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn one_entry_that_tells_its_start_takes_out_none_that_does_not() {
+fn an_entry_with_a_start_does_not_exclude_entries_without_one() {
     let mut setup = Setup::default();
     setup.list("i-1", None, 1);
     setup.list("i-2", None, 2);
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn a_zone_is_drained_while_its_key_is_there() {
+fn a_zone_is_drained_while_its_key_exists() {
     let mut setup = Setup::default();
     setup.list("i-1", None, 1);
     let mut key = |value: Option<&'static [u8]>| {
@@ -138,14 +138,14 @@
 }
 
 thread_local! {
-    /// Records that were read in this thread.
-    static READ: Cell<usize> = const { Cell::new(0) };
+    /// Number of records parsed in this thread.
+    static PARSED: Cell<usize> = const { Cell::new(0) };
 }
 
-/// The adapter, which counts the records that it reads.
-struct Counting;
+/// The platform's adapter with a count of the records that it parses.
+struct CountingAdapter;
 
-impl Protocol for Counting {
+impl Protocol for CountingAdapter {
     const CONFIG_PREFIX: &'static str = Adapter::CONFIG_PREFIX;
     const SERVERS_PREFIX: &'static str = Adapter::SERVERS_PREFIX;
     const READY_PATH: &'static str = Adapter::READY_PATH;
@@ -155,7 +155,7 @@
     }
 
     fn record(key: &str, value: &[u8]) -> Result<protocol::Record, protocol::Error> {
-        READ.set(READ.get() + 1);
+        PARSED.set(PARSED.get() + 1);
         Adapter::record(key, value)
     }
 
@@ -184,11 +184,12 @@
     }
 }
 
-/// A sidecar that is no driver looks ten times a second, at hundreds of entries.
+/// A sidecar that is not the driver updates its catalog ten times per second, over hundreds of
+/// entries.
 #[test]
-fn what_has_not_changed_is_not_read_again() {
+fn parses_only_changed_entries() {
     let mirror = Mirror::default();
-    let mut catalog: Catalog<Counting> = Catalog::default();
+    let mut catalog: Catalog<CountingAdapter> = Catalog::default();
     let record = |number: u64, revision: u64| Record {
         key: format!("servers/i-{number}").into(),
         revision: Revision::new(0, revision),
@@ -196,12 +197,12 @@
     };
     mirror.apply((0..200).map(|number| record(number, 1)).collect(), Source::Store);
     catalog.update(&mirror);
-    assert_eq!(READ.take(), 200);
+    assert_eq!(PARSED.take(), 200);
     for _ in 0..10 {
         catalog.update(&mirror);
     }
-    assert_eq!(READ.take(), 0);
+    assert_eq!(PARSED.take(), 0);
     mirror.apply(vec![record(7, 2)], Source::Store);
     catalog.update(&mirror);
-    assert_eq!((READ.take(), catalog.servers().count()), (1, 200));
+    assert_eq!((PARSED.take(), catalog.servers().count()), (1, 200));
 }
--- a/mirror/tests/followers.rs
+++ b/mirror/tests/followers.rs
@@ -1,6 +1,7 @@
-//! Hosts that all start with one seed spread over each other.
+//! Limit of the followers of one host.
 //!
-//! The pattern: a whole fleet starts at once, and each host knows the seeds alone.
+//! Guards against an overloaded seed: a whole fleet starts at the same time, and each host knows
+//! only the seeds.
 
 #![allow(clippy::unwrap_used, reason = "a test that fails may panic")]
 
@@ -16,7 +17,7 @@
 
 use common::host;
 
-/// Time within which all are to know: the users' shortest bound for a change.
+/// Time within which all hosts must receive a change: the users' shortest bound.
 const BOUND: Duration = Duration::from_millis(2_000);
 
 fn record(revision: u64) -> Record {
@@ -34,7 +35,7 @@
     tokio::spawn(follow::run(mirror.clone(), peers, 0));
 }
 
-async fn all_know(mirrors: &[Arc<Mirror>], revision: u64) {
+async fn wait_until_all_know(mirrors: &[Arc<Mirror>], revision: u64) {
     let known = |mirror: &Arc<Mirror>| {
         mirror.record("servers/i-1").is_some_and(|record| record.revision.number >= revision)
     };
@@ -47,7 +48,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_fleet_that_starts_at_once_does_not_hang_on_its_seed() {
+async fn a_fleet_that_starts_at_once_does_not_overload_its_seed() {
     let (seed, at) = host("norte").await;
     seed.apply(vec![record(1)], Source::Store);
     let mut mirrors = Vec::new();
@@ -56,34 +57,35 @@
         follow(&mirror, name, Some(address), at);
         mirrors.push(mirror);
     }
-    all_know(&mirrors, 1).await;
+    wait_until_all_know(&mirrors, 1).await;
     seed.apply(vec![record(2)], Source::Store);
-    all_know(&mirrors, 2).await;
+    wait_until_all_know(&mirrors, 2).await;
     let most = mirrors.iter().chain([&seed]).map(|mirror| mirror.followers.count()).max();
     assert!(most <= Some(followers::MAX), "{most:?} followers of one host");
 }
 
-/// Sidecars follow, and nobody can follow them.
+/// Sidecars follow, but cannot be followed, so a host whose followers are sidecars has no
+/// alternatives to redirect to.
 #[tokio::test(flavor = "multi_thread")]
-async fn who_has_nobody_to_go_to_is_taken() {
+async fn accepts_followers_above_the_limit_without_alternatives() {
     let (seed, at) = host("norte").await;
     seed.apply(vec![record(1)], Source::Store);
     let mirrors: Vec<Arc<Mirror>> = (0..followers::MAX + 20).map(|_| Arc::default()).collect();
     for (name, mirror) in mirrors.iter().enumerate() {
         follow(mirror, name, None, at);
     }
-    all_know(&mirrors, 1).await;
+    wait_until_all_know(&mirrors, 1).await;
 }
 
-/// One that is named may be gone: whoever was redirected comes back, and insists.
+/// An alternative may be unreachable. The redirected follower then returns and insists.
 #[tokio::test(flavor = "multi_thread")]
-async fn who_is_redirected_to_hosts_that_are_gone_is_taken_in_the_end() {
+async fn accepts_a_follower_that_was_redirected_to_unreachable_hosts() {
     let (seed, at) = host("norte").await;
     seed.apply(vec![record(1)], Source::Store);
     let mirrors: Vec<Arc<Mirror>> = (0..followers::MAX + 4).map(|_| Arc::default()).collect();
     for (name, mirror) in mirrors.iter().enumerate() {
-        let gone = ([127, 9, 0, name as u8], 9).into();
-        follow(mirror, name, Some(gone), at);
+        let unreachable = ([127, 9, 0, name as u8], 9).into();
+        follow(mirror, name, Some(unreachable), at);
     }
-    all_know(&mirrors, 1).await;
+    wait_until_all_know(&mirrors, 1).await;
 }
--- a/mirror/tests/offers.rs
+++ b/mirror/tests/offers.rs
@@ -1,4 +1,4 @@
-//! Large records cross to another zone only for who lacks them.
+//! A large record is transferred to another zone only if the follower there lacks it.
 
 #![allow(clippy::unwrap_used, reason = "a test that fails may panic")]
 
@@ -25,7 +25,7 @@
     }
 }
 
-/// The first batch that a follower in a zone gets.
+/// Returns the first batch that a follower in a zone receives.
 async fn first_batch(address: SocketAddr, zone: &str) -> wire::Batch {
     let url = format!("http://{address}");
     let mut client = wire::mirror_client::MirrorClient::connect(url).await.unwrap();
@@ -35,19 +35,19 @@
 }
 
 #[tokio::test]
-async fn large_records_are_offered_to_other_zones_and_pushed_within_one() {
+async fn offers_large_records_to_other_zones_and_sends_them_within_one() {
     let (mirror, address) = host("norte").await;
     mirror.apply(vec![record("large", 5, LARGE), record("small", 6, 10)], Source::Store);
-    let near = first_batch(address, "norte").await;
-    assert!(near.items.iter().all(|item| !item.offered));
-    assert_eq!(near.items[0].value.len(), LARGE);
-    let far = first_batch(address, "sul").await;
-    assert!(far.items[0].offered && far.items[0].value.is_empty());
-    assert!(!far.items[1].offered && far.items[1].value.len() == 10);
+    let same_zone = first_batch(address, "norte").await;
+    assert!(same_zone.items.iter().all(|item| !item.offered));
+    assert_eq!(same_zone.items[0].value.len(), LARGE);
+    let other_zone = first_batch(address, "sul").await;
+    assert!(other_zone.items[0].offered && other_zone.items[0].value.is_empty());
+    assert!(!other_zone.items[1].offered && other_zone.items[1].value.len() == 10);
 }
 
 #[tokio::test]
-async fn a_record_that_nobody_near_has_is_fetched() {
+async fn fetches_an_offered_record_that_the_own_zone_lacks() {
     let (mirror, address) = host("norte").await;
     let follower: Arc<Mirror> = Arc::default();
     let own = follow::LocalHost { name: "f".into(), zone: "sul".into(), address: None };
@@ -55,7 +55,7 @@
     tokio::spawn(follow::run(follower.clone(), peers, 0));
     mirror.apply(vec![record("large", 5, LARGE)], Source::Store);
     let mut changes = follower.subscribe();
-    let heard = async {
+    let received = async {
         while follower.get("large").is_none_or(|value| value.len() != LARGE) {
             changes.changed().await.unwrap();
         }
@@ -64,12 +64,12 @@
             changes.changed().await.unwrap();
         }
     };
-    tokio::time::timeout(Duration::from_secs(10), heard).await.unwrap();
+    tokio::time::timeout(Duration::from_secs(10), received).await.unwrap();
     assert_eq!(follower.newest_of("large").unwrap().revision.number, 9);
 }
 
 #[tokio::test]
-async fn a_fetch_of_what_is_not_there_is_a_typed_error() {
+async fn a_fetch_of_an_unknown_revision_returns_not_found() {
     let (mirror, address) = host("norte").await;
     mirror.apply(vec![record("large", 5, LARGE)], Source::Store);
     let url = format!("http://{address}");
@@ -82,7 +82,7 @@
 }
 
 #[tokio::test]
-async fn an_offer_is_repeated() {
+async fn repeats_an_offer() {
     let (mirror, address) = host("norte").await;
     mirror.apply(vec![record("large", 5, LARGE), record("small", 6, 10)], Source::Store);
     let url = format!("http://{address}");
--- a/mirror/tests/silence.rs
+++ b/mirror/tests/silence.rs
@@ -1,4 +1,5 @@
-//! Connections between hosts that fall silent for good, while new ones work.
+//! Connections between hosts that go silent: all their packets are dropped from then on, while new
+//! connections work.
 
 #![allow(clippy::unwrap_used, reason = "a test that fails may panic")]
 
@@ -15,7 +16,7 @@
 
 use common::host;
 
-/// A follower of a host through a proxy.
+/// Starts a follower of a host through a proxy.
 async fn follower(proxy: &Proxy, address: SocketAddr) -> Arc<Mirror> {
     let answer = proxy.obey(&format!("target host norte {address}")).await.unwrap();
     let seed = answer.rsplit(' ').next().unwrap().parse().unwrap();
@@ -26,7 +27,7 @@
     mirror
 }
 
-async fn hears(mirror: &Mirror, key: &str) -> Duration {
+async fn wait_for(mirror: &Mirror, key: &str) -> Duration {
     let began = Instant::now();
     let mut changes = mirror.subscribe();
     while mirror.get(key).is_none() {
@@ -39,8 +40,8 @@
     Record { key: key.into(), revision: Revision::new(0, revision), value: Some("x".into()) }
 }
 
-/// Connections that were accepted at an address and are open, by the system's
-/// own table.
+/// Returns the number of established connections that were accepted at an address, from the
+/// kernel's table.
 fn accepted(address: SocketAddr) -> usize {
     let std::net::IpAddr::V4(ip) = address.ip() else { return 0 };
     let local = format!("{:08X}:{:04X}", u32::from_le_bytes(ip.octets()), address.port());
@@ -49,30 +50,30 @@
     rows.filter(|row| row.get(1) == Some(&&*local) && row[3] == "01").count()
 }
 
-/// Silences the connection of a follower to a host; returns where the host is
-/// and how long it took until the follower heard of something new.
-async fn silenced() -> (SocketAddr, Duration) {
+/// Silences the connection of a follower to a host. Returns the host's address and the time until
+/// the follower received the next record.
+async fn silence_connection() -> (SocketAddr, Duration) {
     let (source, address) = host("norte").await;
     let proxy = Proxy::default();
     let mirror = follower(&proxy, address).await;
     source.apply(vec![record("first", 1)], Source::Store);
-    hears(&mirror, "first").await;
+    wait_for(&mirror, "first").await;
     proxy.obey("link * host silence").await.unwrap();
     source.apply(vec![record("second", 2)], Source::Store);
-    (address, hears(&mirror, "second").await)
+    (address, wait_for(&mirror, "second").await)
 }
 
 #[tokio::test]
-async fn a_follower_whose_connection_falls_silent_hears_again_within_seconds() {
-    let (_, took) = silenced().await;
-    // Two seconds for the users; some more on a machine that is busy.
+async fn a_follower_reconnects_within_seconds_after_its_connection_went_silent() {
+    let (_, took) = silence_connection().await;
+    // The users' bound is two seconds; the rest is a margin for a busy machine.
     assert!(took < Duration::from_secs(4), "{took:?}");
 }
 
 #[tokio::test]
-async fn a_host_lets_go_of_a_connection_that_fell_silent() {
-    let (address, _) = silenced().await;
-    // The follower has left the silent connection, and nothing tells the host.
+async fn a_host_closes_a_connection_that_went_silent() {
+    let (address, _) = silence_connection().await;
+    // The follower has abandoned the silent connection, and no packet informs the host.
     assert_eq!(accepted(address), 2);
     let began = Instant::now();
     while accepted(address) > 1 {
--- a/mirror/tests/watch.rs
+++ b/mirror/tests/watch.rs
@@ -1,5 +1,5 @@
-//! A watch whose call is lost is made good within the bound, and who cannot hear
-//! of changes does not pass for someone who can.
+//! Lost calls of watches. A host must receive a change within the bound although a call was lost,
+//! and a host that cannot receive changes must not report that it reaches the store.
 
 #![allow(clippy::unwrap_used, reason = "a test that fails may panic")]
 
@@ -16,22 +16,22 @@
 const SUBJECT: watch::Subject =
     watch::Subject { prefix: "news/", bound: Duration::from_millis(2_000), entries: false };
 
-/// A store with one change, at revision 2. It can lose the calls of watches,
-/// and never answers those that it lost. Other calls it answers all the same.
+/// A store with one change, at revision 2. It can lose calls of watches, which it then never
+/// answers, while it still answers other calls.
 #[derive(Default)]
 struct Fake {
     loses_watches: AtomicBool,
-    /// Whether renewals are lost as well.
-    away: AtomicBool,
+    /// Whether lease renewals are lost as well.
+    loses_renewals: AtomicBool,
     changed: AtomicBool,
-    /// Number of the call of a watch that is lost though others are not, and at
-    /// whose beginning the change is made; none where it is 0.
+    /// Number of the watch call that is lost although others are not, and at whose start the change
+    /// is made; 0 for none.
     lost_call: AtomicUsize,
     calls: AtomicUsize,
 }
 
 impl Fake {
-    async fn wait_for_change(&self, after: Revision, wait: Duration) -> Changes {
+    async fn poll(&self, after: Revision, wait: Duration) -> Changes {
         let end = Instant::now() + wait;
         while Instant::now() < end && !self.changed.load(Ordering::Relaxed) {
             tokio::time::sleep(Duration::from_millis(1)).await;
@@ -59,7 +59,7 @@
             tokio::time::sleep(wait.change + wait.answer).await;
             return Err(Error::Lost("nothing".to_owned()));
         }
-        Ok(self.wait_for_change(after, wait.change).await)
+        Ok(self.poll(after, wait.change).await)
     }
 
     async fn write(&self, _write: &Write) -> Result<Outcome, Error> {
@@ -71,7 +71,7 @@
     }
 
     async fn keep(&self, _lease: Lease) -> Result<bool, Error> {
-        if self.away.load(Ordering::Relaxed) {
+        if self.loses_renewals.load(Ordering::Relaxed) {
             return Err(Error::Lost("nothing".to_owned()));
         }
         Ok(true)
@@ -82,7 +82,7 @@
     }
 }
 
-/// A host that watches a fake store and renews its registration there.
+/// Starts a host that watches a fake store and renews its registration there.
 fn host(store: &Arc<Fake>, subject: watch::Subject) -> Arc<Mirror> {
     let mirror: Arc<Mirror> = Arc::default();
     mirror.distance.set_watcher(true);
@@ -92,8 +92,8 @@
     mirror
 }
 
-/// Waits until a host has heard of the change; returns how long that took.
-async fn heard(mirror: &Mirror) -> Duration {
+/// Waits until a host has received the change. Returns how long that took.
+async fn wait_for_change(mirror: &Mirror) -> Duration {
     let began = Instant::now();
     let mut changes = mirror.subscribe();
     while mirror.get("news/x").is_none() {
@@ -103,59 +103,59 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_change_is_heard_of_within_the_bound_after_a_call_that_was_lost() {
+async fn receives_a_change_within_the_bound_after_a_lost_call() {
     let store: Arc<Fake> = Arc::default();
     let mirror = host(&store, SUBJECT);
     store.loses_watches.store(true, Ordering::Relaxed);
     tokio::time::sleep(Duration::from_millis(10)).await;
-    // The call that was lost waits on; the next one is heard.
+    // The lost call still waits; the next one is received.
     store.loses_watches.store(false, Ordering::Relaxed);
     store.changed.store(true, Ordering::Relaxed);
-    let took = heard(&mirror).await;
+    let took = wait_for_change(&mirror).await;
     assert!(took < SUBJECT.bound, "{took:?}");
 }
 
-/// What is left of the bound for a connection, and for reading what was heard.
-const REST: Duration = Duration::from_millis(50);
+/// Part of the bound that is left for a connection and for parsing the change.
+const MARGIN: Duration = Duration::from_millis(50);
 
 #[tokio::test(start_paused = true)]
-async fn the_longest_call_that_is_lost_leaves_time_for_the_next_one() {
+async fn a_lost_call_of_the_longest_wait_leaves_time_for_the_next_one() {
     let store: Arc<Fake> = Arc::default();
-    // Not the first one after a listing, which is shorter by lot.
+    // Not the first one after a listing, whose wait is a random fraction.
     store.lost_call.store(3, Ordering::Relaxed);
     let mirror = host(&store, SUBJECT);
     while !store.changed.load(Ordering::Relaxed) {
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
-    let took = heard(&mirror).await;
-    assert!(took + REST < SUBJECT.bound, "{took:?}");
+    let took = wait_for_change(&mirror).await;
+    assert!(took + MARGIN < SUBJECT.bound, "{took:?}");
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_lost_call_has_a_watch_asked_again_that_could_wait_much_longer() {
+async fn another_lost_call_makes_a_long_watch_retry() {
     let store: Arc<Fake> = Arc::default();
     let patient = watch::Subject { bound: SUBJECT.bound * 100, ..SUBJECT };
     let mirror = host(&store, patient);
     store.loses_watches.store(true, Ordering::Relaxed);
     tokio::time::sleep(Duration::from_millis(10)).await;
-    store.away.store(true, Ordering::Relaxed);
-    // The watch waits for minutes; a renewal is lost meanwhile.
+    store.loses_renewals.store(true, Ordering::Relaxed);
+    // The watch waits for minutes, and a renewal is lost meanwhile.
     tokio::time::sleep(SUBJECT.bound).await;
     store.loses_watches.store(false, Ordering::Relaxed);
-    store.away.store(false, Ordering::Relaxed);
+    store.loses_renewals.store(false, Ordering::Relaxed);
     store.changed.store(true, Ordering::Relaxed);
-    let took = heard(&mirror).await;
+    let took = wait_for_change(&mirror).await;
     assert!(took < patient.bound / 2, "{took:?}");
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_host_whose_watch_is_not_answered_is_far_from_the_store() {
+async fn a_host_whose_watch_is_not_answered_is_unreachable() {
     let store: Arc<Fake> = Arc::default();
     let mirror = host(&store, SUBJECT);
     tokio::time::sleep(Duration::from_secs(3)).await;
     assert_eq!(mirror.distance.get(), 0);
     store.loses_watches.store(true, Ordering::Relaxed);
-    // Its registration goes on being renewed.
+    // Its registration is still renewed.
     tokio::time::sleep(SUBJECT.bound * 2).await;
     for _ in 0..400 {
         tokio::time::sleep(Duration::from_millis(10)).await;
--- a/mirror/tests/watchers.rs
+++ b/mirror/tests/watchers.rs
@@ -1,4 +1,4 @@
-//! Which gateways watch the store: few of each zone, and who lacks peers.
+//! Selection of the gateways that watch the store: a few of each zone, and those that lack peers.
 
 #![allow(clippy::unwrap_used, reason = "a test that fails may panic")]
 
@@ -24,9 +24,9 @@
     register::Own { name: name.into(), zone: zone.into(), seed, bound }
 }
 
-/// Gateways of a zone that are watchers for their place, where each of so many
-/// zones has so many gateways; all lack peers, so that only the distance tells.
-fn watchers(zones: usize, gateways: usize) -> usize {
+/// Returns the number of gateways of a zone that are watchers because of their place in it. All
+/// lack peers and therefore watch the store, so that only the distance distinguishes watchers.
+fn count_watchers(zones: usize, gateways: usize) -> usize {
     let mirror = Mirror::default();
     let name = |zone: usize, number: usize| format!("g-{zone}-{number}");
     let all = (0..zones).flat_map(|zone| (0..gateways).map(move |number| (zone, number)));
@@ -43,21 +43,24 @@
 }
 
 #[test]
-fn some_nine_gateways_watch_whatever_their_number() {
-    assert_eq!(watchers(3, 3), 3);
-    assert_eq!(watchers(3, 12), 3);
-    assert_eq!(watchers(5, 30), 2);
-    assert_eq!(watchers(31, 13), 2);
+fn two_or_three_gateways_of_each_zone_watch() {
+    assert_eq!(count_watchers(3, 3), 3);
+    assert_eq!(count_watchers(3, 12), 3);
+    assert_eq!(count_watchers(5, 30), 2);
+    assert_eq!(count_watchers(31, 13), 2);
 }
 
 #[test]
-fn who_has_just_started_waits_for_peers_unless_it_is_a_seed() {
+fn a_gateway_waits_for_peers_after_its_start_unless_it_is_a_seed() {
     let begun = Instant::now();
     let mirror = Mirror::default();
-    assert!(register::watches(&mirror, &own("g", "z", true)), "others ask a seed");
+    assert!(
+        register::watches(&mirror, &own("g", "z", true)),
+        "other gateways follow a seed, so it watches at once"
+    );
     let waited = !register::watches(&mirror, &own("g", "z", false));
     assert!(waited || begun.elapsed() >= START_TIME);
-    // Without a peer it begins to watch by itself, and not before.
+    // Without a peer it starts to watch after the start time, and not before.
     while !register::watches(&mirror, &own("g", "z", false)) {
         assert!(begun.elapsed() < START_TIME * 20);
         std::thread::yield_now();
