--- a/mirror/src/follow.rs
+++ b/mirror/src/follow.rs
@@ -326,7 +326,7 @@
             match call.await {
                 Ok(Ok(_)) => {}
                 Ok(Err(status)) => return status,
-                Err(_) => return tonic::Status::deadline_exceeded("Tell call timed out"),
+                Err(_) => return tonic::Status::deadline_exceeded("tell"),
             }
         }
         match updates.recv().await {
@@ -357,8 +357,7 @@
     log::info!("fetching record key={} revision={offered} known={known}", offer.key);
     let wanted = wire::Wanted { key: offer.key, revision: offer.revision, era: offer.era };
     let call = tokio::time::timeout(FETCH_TIMEOUT, client.fetch(wanted));
-    let item =
-        call.await.map_err(|_| tonic::Status::deadline_exceeded("Fetch call timed out"))??;
+    let item = call.await.map_err(|_| tonic::Status::deadline_exceeded("fetch"))??;
     Ok(Some(from_item(item.into_inner())))
 }
 
--- a/mirror/src/lib.rs
+++ b/mirror/src/lib.rs
@@ -238,9 +238,7 @@
         self.distance.set_peer(peer, distance);
         let now = self.distance.peers_reach_store();
         if before != now {
-            log::info!(
-                "reachability of the store through peers changed reach={now} peer={peer} distance={distance}"
-            );
+            log::info!("store reachability over peers reach={now} peer={peer} distance={distance}");
             self.changes.send_modify(|version| *version += 1);
         }
     }
@@ -302,12 +300,8 @@
             let now = self.now();
             let removed = self.lock().expire(now);
             for record in &removed {
-                let event = if record.value.is_some() {
-                    "deferred value applied"
-                } else {
-                    "removal held back is over"
-                };
-                log::info!("{event} key={}", record.key);
+                let what = if record.value.is_some() { "value" } else { "removal" };
+                log::info!("{what} held back is over key={}", record.key);
                 self.updates.send(record.clone()).unwrap_or_default();
             }
             if !removed.is_empty() {
--- a/mirror/src/watch.rs
+++ b/mirror/src/watch.rs
@@ -155,7 +155,7 @@
 fn defer(mirror: &Mirror, record: &Record, due: clock::Instant, changed: bool) -> bool {
     let deferred = mirror.lock().defer(record, due, changed);
     if deferred {
-        log::info!("value deferred key={} revision={}", record.key, record.revision);
+        log::info!("value held back key={} revision={}", record.key, record.revision);
         mirror.changes.send_modify(|version| *version += 1);
     }
     deferred
--- a/mirror/tests/watchers.rs
+++ b/mirror/tests/watchers.rs
@@ -24,8 +24,9 @@
     register::Own { name: name.into(), zone: zone.into(), seed, bound }
 }
 
-/// Returns the number of gateways of a zone that are watchers because of their place in it. All
-/// lack peers and therefore watch the store, so that only the distance distinguishes watchers.
+/// Returns the number of gateways of one zone that are watchers because of their place in it, among
+/// `zones` zones of `gateways` gateways each. All lack peers and therefore watch the store, so that
+/// only the distance distinguishes watchers.
 fn count_watchers(zones: usize, gateways: usize) -> usize {
     let mirror = Mirror::default();
     let name = |zone: usize, number: usize| format!("g-{zone}-{number}");
