--- a/sidecar/src/lib.rs
+++ b/sidecar/src/lib.rs
@@ -80,7 +80,7 @@
     let peer_listener = listen(settings.peering.peer_address).await?;
     let metrics_listener = listen(host.metrics_address).await?;
     let mirror: Arc<Mirror> = Arc::default();
-    let own = follow::Own { name: host.name.clone(), zone: host.zone.clone(), address: None };
+    let own = follow::LocalHost { name: host.name.clone(), zone: host.zone.clone(), address: None };
     let peers = Arc::new(follow::Peers::new(own, host.seeds.clone()));
     for follower in 0..FOLLOWERS {
         tokio::spawn(follow::run(mirror.clone(), peers.clone(), follower));
