--- a/bench/src/capacity.rs
+++ b/bench/src/capacity.rs
@@ -68,7 +68,7 @@
     let listing = |server: u32| server::Listing {
         host: format!("server{server:05}").into(),
         born: None,
-        news: None,
+        status: None,
         pool: entity::Pool::from_u32(0),
         group: None,
         zone: "norte".into(),
--- a/bench/src/fleet.rs
+++ b/bench/src/fleet.rs
@@ -185,7 +185,7 @@
         let listing = |server: usize| server::Listing {
             host: format!("server{server:04}").into(),
             born: None,
-            news: None,
+            status: None,
             pool: pool(),
             group: None,
             zone: "norte".into(),
--- a/daemon/src/entry/dispatcher.rs
+++ b/daemon/src/entry/dispatcher.rs
@@ -121,7 +121,7 @@
             listings.push(server::Listing {
                 host: host.id.clone(),
                 born: None,
-                news: None,
+                status: None,
                 pool: inner.pools.intern(pool),
                 group: None,
                 zone: host.zone.clone(),
--- a/decision/src/balancer/group.rs
+++ b/decision/src/balancer/group.rs
@@ -204,14 +204,17 @@
     pub(super) fn apply_group_reports(&mut self, now: clock::Instant) {
         let mut reports: BTreeMap<entity::Group, outage::Status> = BTreeMap::new();
         for (_, record) in self.servers.iter().filter(|(_, record)| record.listed) {
-            let (Some(group), Some(news)) = (record.listing.group, record.listing.news) else {
+            let (Some(group), Some(status)) = (record.listing.group, record.listing.status) else {
                 continue;
             };
-            reports.entry(group).and_modify(|before| *before = before.merge(news)).or_insert(news);
+            reports
+                .entry(group)
+                .and_modify(|before| *before = before.merge(status))
+                .or_insert(status);
         }
-        for (group, news) in reports {
+        for (group, status) in reports {
             self.groups[group].outage.set_gateways(self.share.of);
-            let change = self.groups[group].outage.update(news, now);
+            let change = self.groups[group].outage.update(status, now);
             self.note_group_change(group, change, now);
         }
     }
--- a/decision/src/routing/server.rs
+++ b/decision/src/routing/server.rs
@@ -65,7 +65,7 @@
     /// Lock-step group of the server, if it is a rank of one.
     pub group: Option<entity::Group>,
     /// State of the group as the server's entry reports it.
-    pub news: Option<outage::Status>,
+    pub status: Option<outage::Status>,
     /// Availability zone of the server.
     pub zone: Arc<str>,
     /// Whether the server is in the entry host's availability zone.
--- a/decision/tests/balancer.rs
+++ b/decision/tests/balancer.rs
@@ -31,7 +31,7 @@
     let listing = |number: u32| server::Listing {
         host: format!("host{number}").into(),
         born: None,
-        news: None,
+        status: None,
         pool: pool(),
         group: None,
         zone: "norte".into(),
--- a/decision/tests/common/mod.rs
+++ b/decision/tests/common/mod.rs
@@ -60,7 +60,7 @@
             born: *born,
             pool: pool(),
             group: None,
-            news: None,
+            status: None,
             zone: "norte".into(),
             local: true,
             leaving: false,
--- a/decision/tests/drained.rs
+++ b/decision/tests/drained.rs
@@ -20,7 +20,7 @@
         born: None,
         pool: entity::Pool::from_u32(0),
         group: None,
-        news: None,
+        status: None,
         zone: "norte".into(),
         local: number < 2,
         leaving: false,
--- a/decision/tests/estimates.rs
+++ b/decision/tests/estimates.rs
@@ -34,7 +34,7 @@
         let listing = server::Listing {
             host: "a".into(),
             born: None,
-            news: None,
+            status: None,
             pool: entity::Pool::from_u32(0),
             group: None,
             zone: "norte".into(),
--- a/decision/tests/groups.rs
+++ b/decision/tests/groups.rs
@@ -28,7 +28,7 @@
         let listing = |number: u32| server::Listing {
             host: format!("host{number}").into(),
             born: None,
-            news: None,
+            status: None,
             pool: entity::Pool::from_u32(0),
             group: Some(entity::Group::from_u32(number / RANKS)),
             zone: "norte".into(),
--- a/decision/tests/limits.rs
+++ b/decision/tests/limits.rs
@@ -199,7 +199,7 @@
 }
 
 /// Applies the notice of an answer that was read at `read`, to a request dispatched at `sent`.
-fn hear(quota: &mut Option<Quota>, notice: Notice, sent: u64, read: u64) -> Option<Change> {
+fn apply(quota: &mut Option<Quota>, notice: Notice, sent: u64, read: u64) -> Option<Change> {
     Quota::update(quota, notice, || place(0, 0..1, 1), (at(sent), at(read)))
 }
 
@@ -207,27 +207,27 @@
 fn answers_to_earlier_requests_neither_lift_nor_raise_a_limit() {
     let named = |rate| Notice::Limited(limit(rate));
     let mut quota = None;
-    assert_eq!(hear(&mut quota, named(2.0), 0, 100), Some(Change::Limited(limit(2.0), None)));
+    assert_eq!(apply(&mut quota, named(2.0), 0, 100), Some(Change::Limited(limit(2.0), None)));
     // These requests were dispatched before the limit was received.
-    assert_eq!(hear(&mut quota, Notice::Unlimited, 50, 120), None);
-    assert_eq!(hear(&mut quota, named(5.0), 90, 130), None);
+    assert_eq!(apply(&mut quota, Notice::Unlimited, 50, 120), None);
+    assert_eq!(apply(&mut quota, named(5.0), 90, 130), None);
     let lowered = Some(Change::Limited(limit(1.0), Some(limit(2.0))));
-    assert_eq!(hear(&mut quota, named(1.0), 95, 140), lowered);
+    assert_eq!(apply(&mut quota, named(1.0), 95, 140), lowered);
     // These were dispatched after it.
     let raised = Some(Change::Limited(limit(5.0), Some(limit(1.0))));
-    assert_eq!(hear(&mut quota, named(5.0), 140, 200), raised);
-    assert_eq!(hear(&mut quota, Notice::Unreadable, 210, 220), None);
-    assert_eq!(hear(&mut quota, Notice::Unknown, 210, 220), None);
+    assert_eq!(apply(&mut quota, named(5.0), 140, 200), raised);
+    assert_eq!(apply(&mut quota, Notice::Unreadable, 210, 220), None);
+    assert_eq!(apply(&mut quota, Notice::Unknown, 210, 220), None);
     assert_eq!(quota.unwrap().limit(), limit(5.0));
     let lifted = Some(Change::Lifted(Duration::from_millis(150)));
-    assert_eq!(hear(&mut quota, Notice::Unlimited, 220, 250), lifted);
+    assert_eq!(apply(&mut quota, Notice::Unlimited, 220, 250), lifted);
     assert_eq!(quota, None);
 }
 
 #[test]
 fn a_limit_of_zero_admits_an_occasional_probe() {
     let mut quota = None;
-    hear(&mut quota, Notice::Limited(limit(0.0)), 0, 0);
+    apply(&mut quota, Notice::Limited(limit(0.0)), 0, 0);
     let quota = quota.unwrap();
     assert!(!quota.admits(at(5_000)));
     assert!(quota.admits(at(60_000)));
@@ -240,7 +240,7 @@
     for step in 0..1_000 {
         let rate = if step % 20 < 10 { 100.0 } else { 0.5 };
         let now = step * 10;
-        hear(&mut quota, Notice::Limited(limit(rate)), now, now);
+        apply(&mut quota, Notice::Limited(limit(rate)), now, now);
         if quota.unwrap().admits(at(now)) {
             quota.as_mut().unwrap().sent(at(now));
             sent.push(rate);
@@ -257,6 +257,6 @@
     assert_eq!(Limit::per_second(-0.1), None);
     let huge = limit(1e300);
     let mut quota = None;
-    hear(&mut quota, Notice::Limited(huge), 0, 0);
+    apply(&mut quota, Notice::Limited(huge), 0, 0);
     assert!(quota.unwrap().admits(at(1)));
 }
--- a/decision/tests/outage.rs
+++ b/decision/tests/outage.rs
@@ -180,13 +180,18 @@
         restart
     }
 
-    fn list(&mut self, reporting: u32, news: Status, now: clock::Instant) -> Vec<balancer::Action> {
+    fn list(
+        &mut self,
+        reporting: u32,
+        status: Status,
+        now: clock::Instant,
+    ) -> Vec<balancer::Action> {
         let listing = |number: u32| server::Listing {
             host: format!("host{number}").into(),
             born: None,
             pool: entity::Pool::from_u32(0),
             group: Some(entity::Group::from_u32(0)),
-            news: Some(if number < reporting { news } else { open(news.epoch - 1) }),
+            status: Some(if number < reporting { status } else { open(status.epoch - 1) }),
             zone: "norte".into(),
             local: true,
             leaving: false,
@@ -263,20 +268,21 @@
     let options = balancer::Options::default().charge_full(true).retry_ratio(0.15);
     let mut balancer = balancer::Balancer::new(policy, &options.retry_reserve(4.2));
     balancer.set_share_of_servers(balancer::Share { number: 0, of: GATEWAYS });
-    let listing = |number: u32, news: Status| server::Listing {
+    let listing = |number: u32, status: Status| server::Listing {
         host: format!("host{number}").into(),
         born: None,
         pool: entity::Pool::from_u32(0),
         group: Some(entity::Group::from_u32(number % 2)),
-        news: Some(news),
+        status: Some(status),
         zone: "norte".into(),
         local: true,
         leaving: false,
         drained: false,
         cold: None,
     };
-    let list =
-        |news: Status| (0..20).map(move |n| listing(n, if n % 2 == 0 { open(1) } else { news }));
+    let list = |status: Status| {
+        (0..20).map(move |n| listing(n, if n % 2 == 0 { open(1) } else { status }))
+    };
     balancer.list(list(open(1)).collect(), at(0));
     for number in 0..20 {
         balancer.set_connected(rank(number), true, at(0));
--- a/decision/tests/runs.rs
+++ b/decision/tests/runs.rs
@@ -34,7 +34,7 @@
         let listing = server::Listing {
             host: "host".into(),
             born,
-            news: None,
+            status: None,
             pool: entity::Pool::from_u32(0),
             group: None,
             zone: "norte".into(),
--- a/decision/tests/suspects.rs
+++ b/decision/tests/suspects.rs
@@ -30,7 +30,7 @@
         born: None,
         pool: pool(),
         group: None,
-        news: None,
+        status: None,
         zone: "norte".into(),
         local: true,
         leaving: false,
--- a/dispatch/src/lib.rs
+++ b/dispatch/src/lib.rs
@@ -65,7 +65,7 @@
 }
 
 impl Rank {
-    fn news(&self) -> Option<outage::Status> {
+    fn status(&self) -> Option<outage::Status> {
         let reported = self.reported.as_ref()?;
         Some(outage::Status {
             epoch: reported.epoch,
@@ -196,7 +196,7 @@
             born: listing.run.born,
             pool: inner.pools.intern(&listing.pool),
             group: listing.rank.as_ref().map(|rank| inner.groups.intern(&rank.group)),
-            news: listing.rank.as_ref().and_then(Rank::news),
+            status: listing.rank.as_ref().and_then(Rank::status),
             zone: listing.zone.clone(),
             local: listing.local,
             leaving: listing.leaving,
@@ -239,7 +239,7 @@
     }
 
     /// Sets the time that a pool's lock-step groups need to form.
-    pub fn set_form(&self, pool: &Arc<str>, time: Duration) {
+    pub fn set_form_time(&self, pool: &Arc<str>, time: Duration) {
         let mut inner = self.lock();
         let id = inner.pools.intern(pool);
         inner.balancer.set_form_time(id, time);
@@ -269,7 +269,7 @@
 
     /// Applies a notice that a backend server sent in an answer: that it rests or leaves. Returns
     /// the resulting change.
-    pub fn notice(
+    pub fn apply_notice(
         &self,
         server: entity::Server,
         notice: &notice::Notice,
@@ -283,7 +283,7 @@
 
     /// Applies a notice about a backend server's rate limit. It was in the answer to a request for
     /// which the server was selected at `chosen`. Returns the resulting change.
-    pub fn limit(
+    pub fn apply_rate_notice(
         &self,
         server: entity::Server,
         notice: rate::Notice,
@@ -298,7 +298,7 @@
 
     /// Lifts a run's rate limit, which another gateway has found to be lifted. Returns how long a
     /// limit was in force here.
-    pub fn lift(&self, run: &fleet::Run) -> Option<Duration> {
+    pub fn lift_limit(&self, run: &fleet::Run) -> Option<Duration> {
         let now = self.now();
         let mut inner = self.lock();
         let (time, actions) = inner.balancer.lift_limit(&run.id, run.born, now);
@@ -319,13 +319,13 @@
 
     /// Returns whether an attempt for which a backend server was selected at `chosen` may still be
     /// sent to it now.
-    pub fn wants(&self, server: entity::Server, chosen: clock::Instant) -> bool {
+    pub fn still_accepts(&self, server: entity::Server, chosen: clock::Instant) -> bool {
         self.lock().balancer.still_accepts(server, chosen, self.now())
     }
 
     /// Returns the number of backend servers that rest, and of listed ones that reported that they
     /// leave.
-    pub fn noticed(&self) -> (usize, usize) {
+    pub fn resting_and_leaving(&self) -> (usize, usize) {
         self.lock().balancer.resting_and_leaving(self.now())
     }
 
@@ -367,9 +367,9 @@
     }
 
     /// Waits until groups are unreachable. Returns them with the targets of their ranks.
-    pub async fn out_of_reach(&self) -> Vec<(entity::Group, Vec<T>)> {
+    pub async fn unreachable_groups(&self) -> Vec<(entity::Group, Vec<T>)> {
         loop {
-            let groups = self.lock().out_of_reach();
+            let groups = self.lock().unreachable_groups();
             if !groups.is_empty() {
                 return groups;
             }
@@ -378,7 +378,7 @@
     }
 
     /// Records that a connection to a rank of an unreachable group was established.
-    pub fn reached(&self, group: entity::Group) {
+    pub fn group_reached(&self, group: entity::Group) {
         let now = self.now();
         let mut inner = self.lock();
         let actions = inner.balancer.group_reached(group, now);
@@ -507,7 +507,7 @@
         servers.filter_map(|server| Some((server, self.targets.get(&server)?.clone()))).collect()
     }
 
-    fn out_of_reach(&self) -> Vec<(entity::Group, Vec<T>)> {
+    fn unreachable_groups(&self) -> Vec<(entity::Group, Vec<T>)> {
         let groups = self.balancer.unreachable_groups().into_iter();
         let targets = |ranks: Vec<entity::Server>| {
             ranks.iter().filter_map(|rank| self.targets.get(rank).cloned()).collect()
--- a/dispatch/tests/leaving.rs
+++ b/dispatch/tests/leaving.rs
@@ -134,7 +134,7 @@
         let Some(attempt) = pending.attempt.as_ref().filter(|_| pending.reached.is_none()) else {
             return;
         };
-        if !self.dispatcher.wants(attempt.server, attempt.at) {
+        if !self.dispatcher.still_accepts(attempt.server, attempt.at) {
             pending.attempt = None;
             return pending.permit.end(balancer::End::Withheld);
         }
@@ -153,7 +153,7 @@
         let mut pending = self.pending.remove(index);
         if pending.reached == Some(self.born) && self.leaving {
             let notice = notice::Notice { leaving: true, ..Default::default() };
-            self.dispatcher.notice(pending.attempt.as_ref().unwrap().server, &notice);
+            self.dispatcher.apply_notice(pending.attempt.as_ref().unwrap().server, &notice);
             self.notified = true;
         }
         pending.permit.end(balancer::End::Answered);
@@ -217,7 +217,7 @@
         world.step(Step::Restart);
         world.step(Step::Update);
         world.step(Step::Check);
-        prop_assert_eq!(world.dispatcher.noticed().1, 0);
+        prop_assert_eq!(world.dispatcher.resting_and_leaving().1, 0);
     }
 }
 
--- a/dispatch/tests/runs.rs
+++ b/dispatch/tests/runs.rs
@@ -59,7 +59,7 @@
     let first = run("a", Some(1));
     let (dispatcher, server) = listed(&first).await;
     let leaves = notice::Notice { leaving: true, ..Default::default() };
-    assert_eq!(dispatcher.notice(server, &leaves), Some(notice::Change::Leaves));
+    assert_eq!(dispatcher.apply_notice(server, &leaves), Some(notice::Change::Leaves));
     let noticed_at = loftcove_clock::unix_ms();
     dispatcher.list(vec![listing(&run("a", Some(noticed_at - 100)), SLOTS)]);
     let mut permit = dispatcher.arrive(&arrival(Duration::from_millis(50)));
--- a/gateway/src/flow.rs
+++ b/gateway/src/flow.rs
@@ -327,7 +327,7 @@
         self.metrics.attempts.inc();
         let message = message::<P>(request, &attempt.target, left, resume_after);
         let fresh = !request.grant.route.kind.repeatable();
-        let wanted = || self.dispatcher.wants(attempt.server, attempt.at);
+        let wanted = || self.dispatcher.still_accepts(attempt.server, attempt.at);
         let reply = self.upstream.send(&attempt.target, message, fresh, wanted);
         let reply = match tokio::time::timeout_at(request.due.timer(), reply).await {
             Ok(Ok(reply)) => reply,
--- a/gateway/src/metrics.rs
+++ b/gateway/src/metrics.rs
@@ -137,7 +137,7 @@
         let checks = "Health checks of restarted servers whose earlier run left";
         registry.register("health_checks", checks, self.health_checks.clone());
         let (resting, leaving): (Gauge, Gauge) = Default::default();
-        let noticed = gateway.dispatcher.noticed();
+        let noticed = gateway.dispatcher.resting_and_leaving();
         resting.set(noticed.0 as i64);
         leaving.set(noticed.1 as i64);
         registry.register("servers_resting", "Servers that rest at present", resting);
--- a/gateway/src/notice.rs
+++ b/gateway/src/notice.rs
@@ -28,7 +28,7 @@
             );
         }
         let born = born(&attempt.target);
-        match self.dispatcher.notice(attempt.server, notice) {
+        match self.dispatcher.apply_notice(attempt.server, notice) {
             None => {}
             Some(notice::Change::Rests(time)) => {
                 self.metrics.rests.inc();
@@ -58,7 +58,7 @@
         if notice == rate::Notice::Unreadable {
             log::warn!("limit not understood request={id} server={server} status={status}");
         }
-        match self.dispatcher.limit(attempt.server, notice, attempt.at) {
+        match self.dispatcher.apply_rate_notice(attempt.server, notice, attempt.at) {
             None => {}
             Some(rate::Change::Limited(limit, before)) => {
                 self.metrics.limits.inc();
--- a/gateway/src/probe.rs
+++ b/gateway/src/probe.rs
@@ -17,11 +17,11 @@
 /// Probes groups that are out of reach until the process ends.
 pub async fn run<P: Protocol>(gateway: Arc<state::Gateway<P>>) {
     loop {
-        for (group, ranks) in gateway.dispatcher.out_of_reach().await {
+        for (group, ranks) in gateway.dispatcher.unreachable_groups().await {
             let place = rand::random_range(0..ranks.len().max(1));
             let Some(target) = ranks.get(place) else { continue };
             if upstream::reaches(target.address).await {
-                gateway.dispatcher.reached(group);
+                gateway.dispatcher.group_reached(group);
             }
         }
         tokio::time::sleep(PAUSE).await;
--- a/gateway/src/state.rs
+++ b/gateway/src/state.rs
@@ -119,7 +119,7 @@
         let listed = entries.into_iter().map(|(name, entry)| rate::Peer { name, zone: entry.zone });
         self.dispatcher.set_peers(rate::Peers::new(own, listed));
         for run in self.mirror.lifts.news(&self.mirror) {
-            if let Some(time) = self.dispatcher.lift(&run) {
+            if let Some(time) = self.dispatcher.lift_limit(&run) {
                 let ms = time.as_millis();
                 log::info!("server limit lifted server={} ms={ms} from=store", run.id);
             }
@@ -208,7 +208,7 @@
             if let Some(engine) = &service.engine {
                 let cost = pass::Cost::new(engine.step, engine.step_per_stream, engine.steps);
                 self.dispatcher.set_cost(&service.name, cost);
-                self.dispatcher.set_form(&service.name, engine.form);
+                self.dispatcher.set_form_time(&service.name, engine.form);
             }
         }
         self.dispatcher.list(servers.iter().map(listing).collect());
