--- a/decision/tests/common/mod.rs
+++ b/decision/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! One gateway's balancer before a few backend servers.
+//! Setup for tests of one gateway's balancer with a few backend servers.
 
-#![allow(dead_code, reason = "each test uses a part of it")]
+#![allow(dead_code, reason = "no test file uses all of the module")]
 
 use std::time::Duration;
 
@@ -10,33 +10,33 @@
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::SeedableRng as _;
 
-/// Requests that a server takes at a time.
+/// Number of requests that a server accepts concurrently.
 pub const SLOTS: u32 = 4;
-/// Time that a caller waits.
+/// Time from the arrival of a request to its deadline.
 pub const DEADLINE: Duration = Duration::from_secs(8);
 
-/// The one pool.
+/// Returns the only pool.
 pub fn pool() -> entity::Pool {
     entity::Pool::from_u32(0)
 }
 
-/// The balancer, and what it was asked.
+/// A balancer with a record of its decisions.
 pub struct Setup {
-    /// The balancer.
+    /// Balancer under test.
     pub balancer: balancer::Balancer<policy::Blend>,
-    /// The present.
+    /// Current time.
     pub now: clock::Instant,
-    /// Requests under way, each with its server and when it was sent.
+    /// Requests in flight, each with its server and the time of its dispatch.
     pub sent: Vec<(entity::Ticket, entity::Server, clock::Instant)>,
-    /// When each request was sent.
+    /// Times of all dispatches.
     pub times: Vec<clock::Instant>,
-    /// Requests that were refused.
+    /// Rejected requests.
     pub refused: Vec<balancer::Refusal>,
     sequence: u64,
 }
 
 impl Setup {
-    /// A balancer before servers by number and start.
+    /// Creates a balancer with the given servers, each a number and the start time of its run.
     pub fn new(servers: &[(u32, Option<u64>)]) -> Setup {
         let rng = ChaCha8Rng::seed_from_u64(3);
         let policy = policy::Blend { rng, sample: 2, affinity_slack: 0.0 };
@@ -53,7 +53,7 @@
         setup
     }
 
-    /// Lists servers by number and start.
+    /// Replaces the list of servers; each is a number and the start time of its run.
     pub fn list(&mut self, servers: &[(u32, Option<u64>)]) {
         let listing = |(number, born): &(u32, Option<u64>)| server::Listing {
             host: format!("server-{number}").into(),
@@ -68,7 +68,7 @@
             cold: None,
         };
         let actions = self.balancer.list(servers.iter().map(listing).collect(), self.now);
-        self.take(actions);
+        self.apply(actions);
         for (number, _) in servers {
             let id = self.find(*number);
             if self.balancer.servers()[id].connected {
@@ -84,17 +84,17 @@
             };
             let mut actions = self.balancer.set_connected(id, true, self.now);
             actions.extend(self.balancer.report(id, report, self.now));
-            self.take(actions);
+            self.apply(actions);
         }
     }
 
-    /// The newest run of a server.
+    /// Returns the newest run of a server.
     pub fn find(&self, number: u32) -> entity::Server {
         self.balancer.servers().find(&format!("server-{number}")).unwrap()
     }
 
-    /// Takes what the balancer wants done.
-    pub fn take(&mut self, actions: Vec<balancer::Action>) {
+    /// Applies the balancer's actions.
+    pub fn apply(&mut self, actions: Vec<balancer::Action>) {
         for action in actions {
             match action {
                 balancer::Action::Send(dispatch) => {
@@ -111,14 +111,14 @@
         }
     }
 
-    /// Lets time pass.
-    pub fn pass(&mut self, ms: u64) {
+    /// Advances the clock and runs the balancer's periodic check.
+    pub fn advance(&mut self, ms: u64) {
         self.now = self.now + Duration::from_millis(ms);
         let actions = self.balancer.tick(self.now);
-        self.take(actions);
+        self.apply(actions);
     }
 
-    /// A request arrives whose answer should begin within that time.
+    /// Adds a request whose answer should begin within `begin`.
     pub fn arrive(&mut self, begin: Duration) -> entity::Ticket {
         let due = self.now + DEADLINE.max(begin);
         let arrival = balancer::Arrival {
@@ -135,42 +135,46 @@
             suspect: None,
         };
         let (ticket, actions) = self.balancer.arrive(arrival, self.now);
-        self.take(actions);
+        self.apply(actions);
         ticket
     }
 
-    /// An answer says something of its server.
-    pub fn notice(&mut self, server: entity::Server, notice: &Notice) -> Option<Change> {
+    /// Applies a notice that an answer carries about its server.
+    pub fn apply_notice(&mut self, server: entity::Server, notice: &Notice) -> Option<Change> {
         let (change, actions) = self.balancer.apply_notice(server, notice, self.now);
-        self.take(actions);
+        self.apply(actions);
         change
     }
 
-    /// The answer to a request says something of its server's rate limit.
-    pub fn limit(&mut self, ticket: entity::Ticket, notice: rate::Notice) -> Option<rate::Change> {
+    /// Applies a notice about the server's rate limit that the answer to a request carries.
+    pub fn apply_rate_notice(
+        &mut self,
+        ticket: entity::Ticket,
+        notice: rate::Notice,
+    ) -> Option<rate::Change> {
         let (_, server, sent) = *self.sent.iter().find(|(other, ..)| *other == ticket).unwrap();
         let (change, actions) = self.balancer.apply_rate_notice(server, notice, sent, self.now);
-        self.take(actions);
+        self.apply(actions);
         change
     }
 
-    /// A request ends.
+    /// Ends the attempt of a request and verifies the balancer's state.
     pub fn end(&mut self, ticket: entity::Ticket, end: balancer::End) {
         self.sent.retain(|(other, ..)| *other != ticket);
         let actions = self.balancer.end(ticket, end, self.now);
-        self.take(actions);
+        self.apply(actions);
         assert_eq!(self.balancer.verify(), Ok(()));
     }
 
-    /// Server that the request is at.
+    /// Returns the server that runs the request.
     pub fn at(&self, ticket: entity::Ticket) -> Option<entity::Server> {
         self.sent.iter().find(|(other, ..)| *other == ticket).map(|(_, server, _)| *server)
     }
 
-    /// A refusal with a notice, as the adapter tells it.
-    pub fn turn_away(&mut self, ticket: entity::Ticket, notice: &Notice) {
+    /// Rejects a request at its server with a notice, in the order in which the adapter does it.
+    pub fn reject(&mut self, ticket: entity::Ticket, notice: &Notice) {
         let server = self.at(ticket).unwrap();
-        self.notice(server, notice);
+        self.apply_notice(server, notice);
         self.end(ticket, balancer::End::Full);
     }
 }
--- a/decision/tests/limited.rs
+++ b/decision/tests/limited.rs
@@ -26,7 +26,10 @@
 fn limited(setup: &mut Setup, rate: f64) -> entity::Server {
     let ticket = setup.arrive(DEADLINE);
     let server = setup.at(ticket).unwrap();
-    assert!(matches!(setup.limit(ticket, limit_notice(rate)), Some(Change::Limited(..))));
+    assert!(matches!(
+        setup.apply_rate_notice(ticket, limit_notice(rate)),
+        Some(Change::Limited(..))
+    ));
     setup.end(ticket, balancer::End::Answered);
     server
 }
@@ -67,10 +70,10 @@
         for (kind, ms, end, start) in events {
             match kind {
                 0..3 => { setup.arrive(DEADLINE); }
-                3 => setup.pass(ms),
+                3 => setup.advance(ms),
                 4 => {
                     if let Some((ticket, ..)) = setup.sent.first().copied() {
-                        setup.limit(ticket, limit_notice(rate));
+                        setup.apply_rate_notice(ticket, limit_notice(rate));
                         setup.end(ticket, end);
                     }
                 }
@@ -96,7 +99,7 @@
         let ticket = setup.arrive(DEADLINE);
         of_server += u32::from(setup.at(ticket) == Some(server));
         setup.end(ticket, balancer::End::Answered);
-        setup.pass(100);
+        setup.advance(100);
     }
     assert!(setup.refused.is_empty());
     assert!((7..=11).contains(&of_server), "{of_server} in 10 s at one a second");
@@ -123,7 +126,7 @@
     assert!(gaps.min().unwrap() >= Duration::from_millis(900), "{times:?}");
     // The waiting requests are served.
     for _ in 0..60 {
-        setup.pass(100);
+        setup.advance(100);
         while let Some((ticket, ..)) = setup.sent.first().copied() {
             setup.end(ticket, balancer::End::Answered);
         }
@@ -139,12 +142,12 @@
     let tickets: Vec<_> = (0..2 * SLOTS).map(|_| setup.arrive(DEADLINE)).collect();
     let server = setup.at(tickets[0]).unwrap();
     let chosen = setup.now;
-    setup.pass(50);
-    setup.limit(tickets[0], limit_notice(1.0));
+    setup.advance(50);
+    setup.apply_rate_notice(tickets[0], limit_notice(1.0));
     assert!(!setup.balancer.still_accepts(server, chosen, setup.now));
     let other = (0..2).map(|n| setup.find(n)).find(|id| *id != server).unwrap();
     assert!(setup.balancer.still_accepts(other, chosen, setup.now));
-    setup.pass(10_000);
+    setup.advance(10_000);
     assert!(setup.balancer.still_accepts(server, setup.now, setup.now));
 }
 
@@ -153,11 +156,11 @@
     let mut setup = Setup::new(&[(0, None)]);
     let server = limited(&mut setup, 1.0);
     let rest = notice::Rest::For(Duration::from_secs(5));
-    setup.notice(server, &notice::Notice { rest, leaving: false });
+    setup.apply_notice(server, &notice::Notice { rest, leaving: false });
     let open = |setup: &Setup| setup.balancer.servers()[server].open(setup.now);
-    setup.pass(4_900);
+    setup.advance(4_900);
     assert!(!open(&setup), "it rests, although its limit allows one");
-    setup.pass(2_000);
+    setup.advance(2_000);
     let first = setup.arrive(DEADLINE);
     assert_eq!(setup.at(first), Some(server));
     setup.balancer.begin(first, Duration::from_millis(10), setup.now);
@@ -171,9 +174,9 @@
     let server = limited(&mut setup, 0.5);
     let waiting = setup.arrive(DEADLINE);
     assert_eq!(setup.at(waiting), None);
-    setup.pass(3_000);
+    setup.advance(3_000);
     let ticket = setup.sent[0].0;
-    assert!(matches!(setup.limit(ticket, Notice::Unlimited), Some(Change::Lifted(_))));
+    assert!(matches!(setup.apply_rate_notice(ticket, Notice::Unlimited), Some(Change::Lifted(_))));
     setup.end(ticket, balancer::End::Answered);
     for _ in 0..SLOTS {
         let ticket = setup.arrive(DEADLINE);
@@ -190,10 +193,10 @@
     setup.list(&[(0, Some(2))]);
     let server = setup.find(0);
     assert!(!setup.balancer.servers()[server].open(setup.now));
-    setup.pass(2_000);
+    setup.advance(2_000);
     let ticket = setup.arrive(DEADLINE);
     assert_eq!(setup.at(ticket), Some(server));
-    assert!(matches!(setup.limit(ticket, Notice::Unlimited), Some(Change::Lifted(_))));
+    assert!(matches!(setup.apply_rate_notice(ticket, Notice::Unlimited), Some(Change::Lifted(_))));
     assert!(setup.balancer.servers()[server].open(setup.now));
 }
 
@@ -201,12 +204,12 @@
 fn another_gateway_lifts_a_limit_unless_its_report_may_be_outdated() {
     let mut setup = Setup::new(&[(0, Some(1))]);
     let server = limited(&mut setup, 0.2);
-    setup.pass(1_000);
+    setup.advance(1_000);
     let lift = |setup: &mut Setup, born| setup.balancer.lift_limit("server-0", born, setup.now).0;
     assert_eq!(lift(&mut setup, Some(1)), None, "it may be older than the last notice received");
-    setup.pass(1_000);
+    setup.advance(1_000);
     assert_eq!(lift(&mut setup, Some(2)), None, "it concerns another run");
     assert_eq!(lift(&mut setup, Some(1)), Some(Duration::from_secs(2)));
-    setup.pass(2_000);
+    setup.advance(2_000);
     assert!(setup.balancer.servers()[server].open(setup.now));
 }
--- a/decision/tests/rest.rs
+++ b/decision/tests/rest.rs
@@ -29,15 +29,15 @@
     let mut setup = Setup::new(&[(0, None), (1, None)]);
     let first = setup.arrive(DEADLINE);
     let resting = setup.at(first).unwrap();
-    setup.turn_away(first, &rest(3_000));
+    setup.reject(first, &rest(3_000));
     assert_ne!(setup.at(first), Some(resting), "it is dispatched to the other server at once");
     for _ in 0..20 {
         let ticket = setup.arrive(DEADLINE);
         assert_ne!(setup.at(ticket), Some(resting));
         setup.end(ticket, balancer::End::Answered);
-        setup.pass(149);
+        setup.advance(149);
     }
-    setup.pass(SPREAD.as_millis() as u64);
+    setup.advance(SPREAD.as_millis() as u64);
     let back = (0..20).any(|_| {
         let ticket = setup.arrive(DEADLINE);
         setup.at(ticket) == Some(resting)
@@ -52,8 +52,8 @@
 fn sends_one_trial_request_after_a_rest() {
     let mut setup = Setup::new(&[(0, None)]);
     let server = setup.find(0);
-    setup.notice(server, &rest(1_000));
-    setup.pass(1_000 + SPREAD.as_millis() as u64);
+    setup.apply_notice(server, &rest(1_000));
+    setup.advance(1_000 + SPREAD.as_millis() as u64);
     let tickets: Vec<_> = (0..3).map(|_| setup.arrive(DEADLINE)).collect();
     assert_eq!(setup.sent.len(), 1);
     // The server breaks off the answer, so the next request is a trial again.
@@ -61,7 +61,7 @@
     assert_eq!(setup.sent.len(), 1);
     let trial = setup.sent[0].0;
     setup.balancer.begin(trial, Duration::from_millis(50), setup.now);
-    setup.pass(10);
+    setup.advance(10);
     assert_eq!(setup.sent.len(), 2, "the server is open once an answer has begun");
 }
 
@@ -70,23 +70,23 @@
     let mut setup = Setup::new(&[(0, None), (1, None)]);
     let server = setup.find(0);
     let tickets: Vec<_> = (0..4).map(|_| setup.arrive(DEADLINE)).collect();
-    assert!(matches!(setup.notice(server, &rest(3_000)), Some(Change::Rests(_))));
-    setup.pass(100);
+    assert!(matches!(setup.apply_notice(server, &rest(3_000)), Some(Change::Rests(_))));
+    setup.advance(100);
     // A shorter rest, an unreadable one, a complete answer, a load report and a host list
     // change nothing.
-    assert_eq!(setup.notice(server, &rest(500)), None);
+    assert_eq!(setup.apply_notice(server, &rest(500)), None);
     let unreadable = Notice { rest: Rest::Unreadable, leaving: false };
-    assert_eq!(setup.notice(server, &unreadable), None);
-    assert_eq!(setup.notice(server, &rest(0)), None);
+    assert_eq!(setup.apply_notice(server, &unreadable), None);
+    assert_eq!(setup.apply_notice(server, &rest(0)), None);
     for ticket in tickets {
         setup.end(ticket, balancer::End::Answered);
     }
     setup.list(&[(0, None), (1, None)]);
-    setup.pass(2_800);
+    setup.advance(2_800);
     assert!(!setup.balancer.still_accepts(server, setup.now, setup.now));
     // A longer rest extends it.
-    assert_eq!(setup.notice(server, &rest(2_000)), None);
-    setup.pass(1_900);
+    assert_eq!(setup.apply_notice(server, &rest(2_000)), None);
+    setup.advance(1_900);
     assert!(!setup.balancer.servers()[server].open(setup.now));
 }
 
@@ -95,9 +95,9 @@
 fn reports_a_new_rest_after_one_that_ended_unnoticed() {
     let mut setup = Setup::new(&[(0, None)]);
     let server = setup.find(0);
-    assert!(matches!(setup.notice(server, &rest(1_000)), Some(Change::Rests(_))));
+    assert!(matches!(setup.apply_notice(server, &rest(1_000)), Some(Change::Rests(_))));
     setup.now = setup.now + Duration::from_secs(10);
-    assert!(matches!(setup.notice(server, &rest(1_000)), Some(Change::Rests(_))));
+    assert!(matches!(setup.apply_notice(server, &rest(1_000)), Some(Change::Rests(_))));
     let ended = |note: &balancer::Note| matches!(note, balancer::Note::Rested(..));
     assert_eq!(setup.balancer.take_notes().iter().filter(|note| ended(note)).count(), 1);
 }
@@ -107,7 +107,7 @@
     let mut setup = Setup::new(&[(0, None)]);
     let server = setup.find(0);
     let endless = Notice { rest: Rest::For(Duration::MAX), leaving: false };
-    setup.notice(server, &endless);
+    setup.apply_notice(server, &endless);
     let until = setup.balancer.servers()[server].standing.until();
     assert!(until <= setup.now + LONGEST_REST + SPREAD);
 }
@@ -116,17 +116,17 @@
 fn keeps_notices_of_an_unlisted_run_and_settles_them_for_the_next_run() {
     let mut setup = Setup::new(&[(0, Some(7)), (1, None)]);
     let server = setup.find(0);
-    setup.notice(server, &rest(5_000));
+    setup.apply_notice(server, &rest(5_000));
     setup.list(&[(1, None)]);
-    setup.pass(100);
+    setup.advance(100);
     // The server is listed again without its start time, then with it: it is the same run.
     for born in [None, Some(7)] {
         setup.list(&[(0, born), (1, None)]);
         assert_eq!(setup.find(0), server);
         assert!(!setup.balancer.servers()[server].open(setup.now));
     }
-    assert_eq!(setup.notice(server, &LEAVES), Some(Change::Leaves));
-    setup.pass(20_000);
+    assert_eq!(setup.apply_notice(server, &LEAVES), Some(Change::Leaves));
+    setup.advance(20_000);
     assert!(
         !setup.balancer.servers()[server].open(setup.now),
         "it leaves, whether its rest is over or not"
@@ -145,12 +145,12 @@
 fn the_next_run_inherits_at_most_one_minute_of_rest() {
     let mut setup = Setup::new(&[(0, Some(7))]);
     let server = setup.find(0);
-    setup.notice(server, &rest(3_600_000));
+    setup.apply_notice(server, &rest(3_600_000));
     setup.list(&[(0, Some(8))]);
     let new = setup.find(0);
     assert!(!setup.balancer.servers()[new].open(setup.now));
     assert_eq!(setup.balancer.unsettled().count(), 0);
-    setup.pass(60_000);
+    setup.advance(60_000);
     assert!(setup.balancer.servers()[new].open(setup.now));
 }
 
@@ -160,7 +160,7 @@
     let ticket = setup.arrive(DEADLINE);
     let server = setup.at(ticket).unwrap();
     let tally = setup.balancer.tally();
-    setup.notice(server, &rest(3_000));
+    setup.apply_notice(server, &rest(3_000));
     assert!(!setup.balancer.still_accepts(server, setup.now, setup.now));
     setup.end(ticket, balancer::End::Withheld);
     let other = setup.at(ticket).unwrap();
@@ -168,10 +168,10 @@
     assert_eq!(setup.balancer.tally(), tally, "it counts as its first attempt");
     assert_eq!(setup.balancer.servers()[server].in_flight, 0);
     // Without another server, the request waits for the first one to accept requests again.
-    setup.notice(other, &rest(6_000));
+    setup.apply_notice(other, &rest(6_000));
     setup.end(ticket, balancer::End::Withheld);
     assert_eq!((setup.at(ticket), setup.refused.len()), (None, 0));
-    setup.pass(3_000 + SPREAD.as_millis() as u64);
+    setup.advance(3_000 + SPREAD.as_millis() as u64);
     assert_eq!(setup.at(ticket), Some(server));
 }
 
@@ -181,9 +181,9 @@
 fn rejects_requests_that_expire_before_the_first_rest_ends() {
     let mut setup = Setup::new(&[(0, None), (1, None)]);
     let (zero, one) = (setup.find(0), setup.find(1));
-    setup.notice(zero, &rest(4_000));
-    setup.notice(one, &rest(2_000));
-    setup.pass(500);
+    setup.apply_notice(zero, &rest(4_000));
+    setup.apply_notice(one, &rest(2_000));
+    setup.advance(500);
     let early = setup.arrive(Duration::from_millis(400));
     assert_eq!(setup.refused.iter().map(|r| r.ticket).collect::<Vec<_>>(), [early]);
     let refusal = setup.refused[0];
@@ -192,7 +192,7 @@
     assert!(refusal.retry_after >= Duration::from_millis(1_500), "{:?}", refusal.retry_after);
     let patient = setup.arrive(Duration::from_secs(7));
     assert_eq!((setup.refused.len(), setup.at(patient)), (1, None));
-    setup.pass(1_500 + SPREAD.as_millis() as u64);
+    setup.advance(1_500 + SPREAD.as_millis() as u64);
     assert_eq!(setup.at(patient), Some(one));
 }
 
@@ -201,7 +201,7 @@
 fn retry_times_after_a_rest_are_spread() {
     let mut setup = Setup::new(&[(0, None)]);
     let server = setup.find(0);
-    setup.notice(server, &rest(3_000));
+    setup.apply_notice(server, &rest(3_000));
     for _ in 0..50 {
         setup.arrive(Duration::from_millis(400));
     }
@@ -221,7 +221,7 @@
     let waiting = setup.arrive(Duration::from_secs(1));
     assert_eq!(setup.at(waiting), None);
     let server = setup.at(running[0]).unwrap();
-    setup.notice(server, &rest(3_000));
+    setup.apply_notice(server, &rest(3_000));
     assert_eq!(setup.refused.iter().map(|r| r.ticket).collect::<Vec<_>>(), [waiting]);
 }
 
@@ -232,7 +232,7 @@
     let mut setup = Setup::new(&[(0, None)]);
     let ticket = setup.arrive(DEADLINE);
     let server = setup.at(ticket).unwrap();
-    setup.notice(server, &LEAVES);
+    setup.apply_notice(server, &LEAVES);
     setup.end(ticket, balancer::End::Unreachable);
     let reasons: Vec<_> = setup.refused.iter().map(|refusal| refusal.reason).collect();
     assert_eq!(reasons, [balancer::Reason::NoBackend]);
@@ -245,7 +245,7 @@
     let mut setup = Setup::new(&[(0, None), (1, None), (2, None), (3, None)]);
     let (zero, one, two) = (setup.find(0), setup.find(1), setup.find(2));
     for server in [zero, one] {
-        setup.notice(server, &rest(60_000));
+        setup.apply_notice(server, &rest(60_000));
         assert!(!setup.balancer.servers()[server].health.ejected(setup.now));
     }
     // Half of the pool rests, so no other server is ejected for its failures.
@@ -255,7 +255,7 @@
         let failed = balancer::End::MayHaveRun { answer_begun: true };
         let end = if server == two { failed } else { balancer::End::Answered };
         setup.end(ticket, end);
-        setup.pass(10);
+        setup.advance(10);
     }
     assert!(!setup.balancer.servers()[two].health.ejected(setup.now));
 }
@@ -369,25 +369,25 @@
                 (!setup.sent.is_empty()).then(|| setup.sent[which.index(setup.sent.len())])
             };
             match event {
-                Event::Pass(ms) => setup.pass(ms),
+                Event::Pass(ms) => setup.advance(ms),
                 Event::Arrive => { setup.arrive(DEADLINE); }
                 Event::Rest { which, ms, refuse } => {
                     let Some((ticket, server, _)) = pick(&which, &setup) else { continue };
                     model.rest(server, ms, setup.now);
                     model.inherit(&setup, server);
-                    if refuse { setup.turn_away(ticket, &rest(ms)); } else { setup.notice(server, &rest(ms)); }
+                    if refuse { setup.reject(ticket, &rest(ms)); } else { setup.apply_notice(server, &rest(ms)); }
                 }
                 Event::Leave(which) => {
                     let Some((_, server, _)) = pick(&which, &setup) else { continue };
                     model.leaving.insert(server);
                     model.unsettled.remove(&server);
                     model.inherit(&setup, server);
-                    setup.notice(server, &LEAVES);
+                    setup.apply_notice(server, &LEAVES);
                 }
                 Event::Settle(leaving) => {
                     for server in setup.balancer.unsettled().collect::<Vec<_>>() {
                         let actions = setup.balancer.settle(server, leaving, setup.now);
-                        setup.take(actions);
+                        setup.apply(actions);
                         model.settle(server, leaving);
                     }
                 }
@@ -418,7 +418,7 @@
         while let Some((ticket, ..)) = setup.sent.first().copied() {
             setup.end(ticket, balancer::End::Answered);
         }
-        setup.pass(70_000);
+        setup.advance(70_000);
         setup.arrive(DEADLINE);
         let usable = setup.balancer.servers().usable(pool()).next().is_some();
         prop_assert_eq!(!setup.sent.is_empty(), usable);
