--- a/daemon/src/entry/dispatch.rs
+++ b/daemon/src/entry/dispatch.rs
@@ -188,7 +188,7 @@
         };
         // Each run of the agent counts from its own start.
         let run = fleet::Run { id: self.host.clone(), born: Some(id.incarnation + number) };
-        process.ends.found(&run, self.digest, self.alone);
+        process.ends.record_end(&run, self.digest, self.alone);
         balancer::End::ServerEnded
     }
 }
--- a/daemon/src/entry/flow.rs
+++ b/daemon/src/entry/flow.rs
@@ -53,7 +53,8 @@
     }
     let max_body = process.settings.entry.as_ref().map_or(usize::MAX, |own| own.max_body);
     let call = call::read(id, request, &bundle, max_body).await?;
-    let _in_time = tokio::time::timeout(call.budget, process.ends.settled(call.digest())).await;
+    let _in_time =
+        tokio::time::timeout(call.budget, process.ends.wait_until_settled(call.digest())).await;
     if let poison::Standing::Refused(ends) = process.ends.standing(call.digest()) {
         let digest = call.digest();
         log::info!("request ends servers request={} digest={digest} ends={ends}", call.id);
--- a/gateway/src/ended.rs
+++ b/gateway/src/ended.rs
@@ -54,7 +54,7 @@
             return balancer::End::MayHaveRun { answer_begun };
         }
         self.metrics.servers_ended.inc();
-        self.mirror.ends.found(&target.run, request.digest, request.suspect);
+        self.mirror.ends.record_end(&target.run, request.digest, request.suspect);
         balancer::End::ServerEnded
     }
 
@@ -77,7 +77,7 @@
             }
             log::info!("server ended after all digest={digest} server={}", target.run.id);
             ended.inc();
-            mirror.ends.found(&target.run, digest, alone);
+            mirror.ends.record_end(&target.run, digest, alone);
         });
     }
 }
--- a/gateway/src/flow.rs
+++ b/gateway/src/flow.rs
@@ -70,7 +70,7 @@
     let routes = gateway.routes.load_full().ok_or_else(|| refused(Refusal::NoConfig))?;
     let request = request::read(head, body, meta, &routes).await.map_err(refused)?;
     // A request that is overdue by then is answered by the dispatcher.
-    let settled = gateway.mirror.ends.settled(request.digest);
+    let settled = gateway.mirror.ends.wait_until_settled(request.digest);
     let _in_time = tokio::time::timeout_at(request.due.timer(), settled).await;
     if let poison::Standing::Refused(ends) = gateway.mirror.ends.standing(request.digest) {
         log::info!("request ends servers request={id} digest={} ends={ends}", request.digest);
@@ -126,7 +126,7 @@
         let mut kept: Option<answer::Whole> = None;
         let gateway = self.gateway.clone();
         // Others may find out what it does while it waits or is being sent.
-        let refused = gateway.mirror.ends.refused(request.digest);
+        let refused = gateway.mirror.ends.wait_until_refused(request.digest);
         tokio::pin!(refused);
         loop {
             let next = tokio::select! {
--- a/gateway/src/metrics.rs
+++ b/gateway/src/metrics.rs
@@ -144,7 +144,7 @@
         let told = "Listed servers that told in their answers that they leave";
         registry.register("servers_leaving", told, leaving);
         let refused: Gauge = Gauge::default();
-        refused.set(gateway.mirror.ends.convicted().len() as i64);
+        refused.set(gateway.mirror.ends.refused_requests().len() as i64);
         registry.register("requests_that_end_servers", "Requests that are refused for it", refused);
         registry.register("first_byte_seconds", "Time to the head", self.first_byte.clone());
         registry.register("whole_seconds", "Time to the end", self.whole.clone());
--- a/gateway/src/notice.rs
+++ b/gateway/src/notice.rs
@@ -62,7 +62,7 @@
             None => {}
             Some(rate::Change::Limited(limit, before)) => {
                 self.metrics.limits.inc();
-                self.mirror.lifts.limited(&attempt.target.run);
+                self.mirror.lifts.discard_pending(&attempt.target.run);
                 let before = before.map_or_else(|| "-".to_owned(), |before| before.to_string());
                 let pace = self.dispatcher.pace(attempt.server);
                 log::info!(
@@ -74,7 +74,7 @@
                 );
             }
             Some(rate::Change::Lifted(time)) => {
-                self.mirror.limit_lifted(&attempt.target.run);
+                self.mirror.record_lift(&attempt.target.run);
                 log::info!(
                     "server limit lifted server={server} born={} ms={} request={id} status={status}",
                     born(&attempt.target),
--- a/gateway/src/state.rs
+++ b/gateway/src/state.rs
@@ -118,7 +118,7 @@
         let own = rate::Peer { name: host.name.clone(), zone: host.zone.clone() };
         let listed = entries.into_iter().map(|(name, entry)| rate::Peer { name, zone: entry.zone });
         self.dispatcher.set_peers(rate::Peers::new(own, listed));
-        for run in self.mirror.lifts.news(&self.mirror) {
+        for run in self.mirror.lifts.take_updates(&self.mirror) {
             if let Some(time) = self.dispatcher.lift_limit(&run) {
                 let ms = time.as_millis();
                 log::info!("server limit lifted server={} ms={ms} from=store", run.id);
--- a/gateway/src/stream.rs
+++ b/gateway/src/stream.rs
@@ -177,7 +177,7 @@
         // The first event's wait is no pause.
         let mut last: Option<boot::Instant> = None;
         let gateway = self.gateway.clone();
-        let refused = gateway.mirror.ends.refused(self.request.digest);
+        let refused = gateway.mirror.ends.wait_until_refused(self.request.digest);
         tokio::pin!(refused);
         loop {
             let frame = tokio::select! {
@@ -242,7 +242,7 @@
         let after = splitter.last_id().cloned();
         let mut end = end;
         let gateway = self.gateway.clone();
-        let refused = gateway.mirror.ends.refused(self.request.digest);
+        let refused = gateway.mirror.ends.wait_until_refused(self.request.digest);
         tokio::pin!(refused);
         loop {
             self.permit.end(end);
--- a/mirror/src/ends.rs
+++ b/mirror/src/ends.rs
@@ -108,7 +108,7 @@
 
     /// A backend server was found to have ended under a request, which may have
     /// been the only suspect that this process had sent there.
-    pub fn found(&self, run: &fleet::Run, digest: Digest, alone: bool) {
+    pub fn record_end(&self, run: &fleet::Run, digest: Digest, alone: bool) {
         let now = self.now();
         let mut state = self.lock();
         state.own.insert(digest);
@@ -171,7 +171,7 @@
 
     /// Waits until what is known of a request is also what others know: one that
     /// may have ended a server a moment ago is not sent again before.
-    pub async fn settled(&self, digest: Digest) {
+    pub async fn wait_until_settled(&self, digest: Digest) {
         while self.awaits(digest) {
             tokio::time::sleep(SETTLE_TIME / 10).await;
         }
@@ -183,7 +183,7 @@
     }
 
     /// Requests that are refused at present.
-    pub fn convicted(&self) -> Vec<Digest> {
+    pub fn refused_requests(&self) -> Vec<Digest> {
         let now = self.now();
         let mut state = self.lock();
         state.expire(now);
@@ -191,7 +191,7 @@
     }
 
     /// Waits until a request is refused; returns the servers that it ended.
-    pub async fn refused(&self, digest: Digest) -> u32 {
+    pub async fn wait_until_refused(&self, digest: Digest) -> u32 {
         let mut changes = self.changes.subscribe();
         loop {
             changes.borrow_and_update();
@@ -276,7 +276,7 @@
     }
 
     /// Takes what a peer tells.
-    pub(crate) fn hear(&self, marks: Vec<wire::Mark>, peer: &str) {
+    pub(crate) fn receive(&self, marks: Vec<wire::Mark>, peer: &str) {
         let now = self.now();
         let mut items = Vec::new();
         for mark in marks {
@@ -433,7 +433,7 @@
 
     /// Requests that are refused and of which the mirror has no record.
     fn lacking(&self, mirror: &Mirror) -> Vec<Digest> {
-        let mut refused = self.convicted();
+        let mut refused = self.refused_requests();
         refused.retain(|digest| mirror.get(&format!("{}{digest}", prefix())).is_none());
         refused
     }
--- a/mirror/src/follow.rs
+++ b/mirror/src/follow.rs
@@ -279,7 +279,7 @@
         let (offers, items): (Vec<_>, Vec<_>) =
             batch.items.into_iter().partition(|item| item.offered);
         mirror.apply(items.into_iter().map(record).collect(), Source::Peer(&source));
-        mirror.ends.hear(batch.marks, &source);
+        mirror.ends.receive(batch.marks, &source);
         fetches.extend(offers.into_iter().map(|offer| fetch(mirror, fetcher.clone(), offer)));
         if better() {
             log::info!("peer left address={source} reason=better-zone-known");
--- a/mirror/src/lifts.rs
+++ b/mirror/src/lifts.rs
@@ -72,12 +72,12 @@
     }
 
     /// A run names a rate limit: what is not yet written of its end is out of date.
-    pub fn limited(&self, run: &fleet::Run) {
+    pub fn discard_pending(&self, run: &fleet::Run) {
         self.lock().pending.remove(run);
     }
 
     /// Runs whose limits others found lifted, since the last call.
-    pub fn news(&self, mirror: &Mirror) -> Vec<fleet::Run> {
+    pub fn take_updates(&self, mirror: &Mirror) -> Vec<fleet::Run> {
         let records = mirror.below(&prefix());
         let mut state = self.lock();
         state.read.retain(|server, _| records.iter().any(|record| *record.key == *key(server)));
@@ -99,7 +99,7 @@
 
 impl Mirror {
     /// An answer of a run showed that its rate limit is lifted.
-    pub fn limit_lifted(&self, run: &fleet::Run) {
+    pub fn record_lift(&self, run: &fleet::Run) {
         let revision = self.record(&key(&run.id)).map_or(Revision::ZERO, |record| record.revision);
         let heard = boot::Instant::now();
         let due = heard + WAIT.mul_f64(rand::random());
--- a/mirror/src/membership.rs
+++ b/mirror/src/membership.rs
@@ -48,7 +48,7 @@
 }
 
 /// The members of a group as they were last written; none where they never were.
-pub fn of(mirror: &Mirror, group: &str) -> Entry {
+pub fn entry(mirror: &Mirror, group: &str) -> Entry {
     let record = mirror.record(&format!("{}{group}", prefix()));
     record.as_ref().and_then(read).unwrap_or_default()
 }
--- a/mirror/src/serve.rs
+++ b/mirror/src/serve.rs
@@ -70,7 +70,7 @@
 
     async fn tell(&self, request: Request<wire::Marks>) -> Result<Response<wire::Ask>, Status> {
         let peer = request.remote_addr().map_or_else(|| "?".to_owned(), |peer| peer.to_string());
-        self.mirror.ends.hear(request.into_inner().marks, &peer);
+        self.mirror.ends.receive(request.into_inner().marks, &peer);
         Ok(Response::new(wire::Ask {}))
     }
 
--- a/mirror/tests/ends.rs
+++ b/mirror/tests/ends.rs
@@ -37,7 +37,9 @@
 
 /// Servers that it ended, once the host refuses the request.
 async fn refuses(mirror: &Mirror) -> u32 {
-    tokio::time::timeout(BOUND, mirror.ends.refused(guilty())).await.expect("heard in time")
+    tokio::time::timeout(BOUND, mirror.ends.wait_until_refused(guilty()))
+        .await
+        .expect("heard in time")
 }
 
 /// Waits until a host holds just that of the request.
@@ -57,8 +59,8 @@
     let third: Arc<Mirror> = Arc::default();
     follow(&second, at_first);
     follow(&third, at_second);
-    first.ends.found(&run(1), guilty(), false);
-    second.ends.found(&run(2), guilty(), false);
+    first.ends.record_end(&run(1), guilty(), false);
+    second.ends.record_end(&run(2), guilty(), false);
     assert_eq!(refuses(&third).await, 2);
     // Who comes later is told everything.
     let late: Arc<Mirror> = Arc::default();
@@ -73,7 +75,7 @@
 async fn a_host_that_nobody_follows_tells_those_that_it_follows() {
     let (followed, address) = host("norte").await;
     let alone: Arc<Mirror> = Arc::default();
-    alone.ends.found(&run(1), guilty(), false);
+    alone.ends.record_end(&run(1), guilty(), false);
     let own = follow::Own {
         name: "alone".into(),
         zone: "norte".into(),
@@ -82,7 +84,7 @@
     let peers = Arc::new(follow::Peers::new(own, vec![address]));
     tokio::spawn(follow::run(alone.clone(), peers, 0));
     holds(&followed, Standing::Suspect(1)).await;
-    alone.ends.found(&run(2), guilty(), false);
+    alone.ends.record_end(&run(2), guilty(), false);
     assert_eq!(refuses(&followed).await, 2);
 }
 
@@ -91,13 +93,13 @@
     let (first, address) = host("norte").await;
     let second: Arc<Mirror> = Arc::default();
     follow(&second, address);
-    first.ends.found(&run(1), guilty(), false);
-    first.ends.found(&run(2), guilty(), false);
+    first.ends.record_end(&run(1), guilty(), false);
+    first.ends.record_end(&run(2), guilty(), false);
     refuses(&second).await;
     first.ends.clear(guilty());
     holds(&second, Standing::Sound).await;
     // What is told again does not bring it back.
-    first.ends.found(&run(1), guilty(), false);
+    first.ends.record_end(&run(1), guilty(), false);
     assert_eq!(first.ends.standing(guilty()), Standing::Sound);
 }
 
@@ -110,7 +112,7 @@
     follow(&second, at_first);
     second.ends.clear(guilty());
     for number in 1..=3 {
-        first.ends.found(&run(number), guilty(), false);
+        first.ends.record_end(&run(number), guilty(), false);
         holds(&first, Standing::Sound).await;
     }
     assert_eq!(second.ends.standing(guilty()), Standing::Sound);
@@ -124,10 +126,10 @@
     let answer = proxy.obey(&format!("target host norte {address}")).await.unwrap();
     let mirror: Arc<Mirror> = Arc::default();
     follow(&mirror, answer.rsplit(' ').next().unwrap().parse().unwrap());
-    source.ends.found(&run(1), guilty(), false);
+    source.ends.record_end(&run(1), guilty(), false);
     holds(&mirror, Standing::Suspect(1)).await;
     proxy.obey("link * host silence").await.unwrap();
-    source.ends.found(&run(2), guilty(), false);
+    source.ends.record_end(&run(2), guilty(), false);
     assert_eq!(refuses(&mirror).await, 2);
 }
 
@@ -138,8 +140,8 @@
     let store = Arc::new(Calls::new(Plan { lost_grants: 1, ..Plan::default() }));
     let mirror: Arc<Mirror> = Arc::default();
     tokio::spawn(ends::run(mirror.clone(), store.clone()));
-    mirror.ends.found(&run(1), guilty(), false);
-    mirror.ends.found(&run(2), guilty(), false);
+    mirror.ends.record_end(&run(1), guilty(), false);
+    mirror.ends.record_end(&run(2), guilty(), false);
     let write = async {
         loop {
             if let Some(write) = store.seen().write {
@@ -172,8 +174,8 @@
     let store = Arc::new(Calls::new(Plan { taken: true, ..Plan::default() }));
     let mirror: Arc<Mirror> = Arc::default();
     tokio::spawn(ends::run(mirror.clone(), store.clone()));
-    mirror.ends.found(&run(1), guilty(), false);
-    mirror.ends.found(&run(2), guilty(), false);
+    mirror.ends.record_end(&run(1), guilty(), false);
+    mirror.ends.record_end(&run(2), guilty(), false);
     let ended = async {
         while store.seen().ended == 0 {
             tokio::time::sleep(Duration::from_millis(10)).await;
@@ -191,12 +193,12 @@
     follow(&second, at_first);
     let proper = Digest::of(&[b"proper"]);
     for number in [1, 2] {
-        first.ends.found(&run(number), guilty(), true);
+        first.ends.record_end(&run(number), guilty(), true);
     }
-    first.ends.found(&run(1), proper, false);
+    first.ends.record_end(&run(1), proper, false);
     assert_eq!(refuses(&second).await, 2);
     first.ends.abandon(&run(3), guilty(), Duration::from_secs(2));
-    first.ends.found(&run(3), proper, true);
+    first.ends.record_end(&run(3), proper, true);
     holds(&second, Standing::Refused(3)).await;
     tokio::time::sleep(SETTLE_TIME).await;
     for host in [&first, &second] {
--- a/mirror/tests/lifts.rs
+++ b/mirror/tests/lifts.rs
@@ -35,7 +35,7 @@
 async fn whoever_hears_it_writes_it_once_under_a_lease() {
     let (mirror, store) = (Arc::<Mirror>::default(), Arc::new(Calls::new(Plan::default())));
     tokio::spawn(lifts::run(mirror.clone(), store.clone()));
-    mirror.limit_lifted(&run(7));
+    mirror.record_lift(&run(7));
     assert_eq!(written(&store).await.unwrap(), r#"{"born":7}"#);
     assert_eq!(store.seen().grants.len(), 1);
     tokio::time::sleep(Duration::from_millis(2_200)).await;
@@ -45,10 +45,10 @@
 #[tokio::test]
 async fn what_another_one_wrote_meanwhile_or_is_out_of_date_is_not_written() {
     let (mirror, store) = (Arc::<Mirror>::default(), Arc::new(Calls::new(Plan::default())));
-    mirror.limit_lifted(&run(7));
+    mirror.record_lift(&run(7));
     mirror.apply(vec![record(5, r#"{"born":7}"#)], Source::Store);
-    mirror.limit_lifted(&fleet::Run { id: "server-2".into(), born: None });
-    mirror.lifts.limited(&fleet::Run { id: "server-2".into(), born: None });
+    mirror.record_lift(&fleet::Run { id: "server-2".into(), born: None });
+    mirror.lifts.discard_pending(&fleet::Run { id: "server-2".into(), born: None });
     tokio::spawn(lifts::run(mirror.clone(), store.clone()));
     assert_eq!(written(&store).await, None);
 }
@@ -58,7 +58,7 @@
     let plan = Plan { lost_grants: 1, ..Plan::default() };
     let (mirror, store) = (Arc::<Mirror>::default(), Arc::new(Calls::new(plan)));
     tokio::spawn(lifts::run(mirror.clone(), store.clone()));
-    mirror.limit_lifted(&run(7));
+    mirror.record_lift(&run(7));
     assert_eq!(written(&store).await, None);
     tokio::time::sleep(Duration::from_millis(2_000)).await;
     assert!(store.seen().write.is_some());
@@ -67,14 +67,14 @@
 #[test]
 fn each_record_is_news_once_and_its_going_is_none() {
     let mirror = Mirror::default();
-    assert_eq!(mirror.lifts.news(&mirror), []);
+    assert_eq!(mirror.lifts.take_updates(&mirror), []);
     mirror.apply(vec![record(5, r#"{"born":7}"#)], Source::Store);
-    assert_eq!(mirror.lifts.news(&mirror), [run(7)]);
-    assert_eq!(mirror.lifts.news(&mirror), []);
+    assert_eq!(mirror.lifts.take_updates(&mirror), [run(7)]);
+    assert_eq!(mirror.lifts.take_updates(&mirror), []);
     mirror.apply(vec![mirror::Record { value: None, ..record(6, "") }], Source::Store);
-    assert_eq!(mirror.lifts.news(&mirror), []);
+    assert_eq!(mirror.lifts.take_updates(&mirror), []);
     mirror.apply(vec![record(7, "nonsense")], Source::Store);
-    assert_eq!(mirror.lifts.news(&mirror), []);
+    assert_eq!(mirror.lifts.take_updates(&mirror), []);
     mirror.apply(vec![record(9, r#"{"born":7}"#)], Source::Store);
-    assert_eq!(mirror.lifts.news(&mirror), [run(7)]);
+    assert_eq!(mirror.lifts.take_updates(&mirror), [run(7)]);
 }
--- a/sidecar/src/drive/learn.rs
+++ b/sidecar/src/drive/learn.rs
@@ -82,7 +82,7 @@
         self.group.set(engines.clone());
         let group = place.name.to_string();
         let inspection = wire::Inspection { term, counts: false, experts: true, group };
-        let before = membership::of(&self.mirror, &place.name);
+        let before = membership::entry(&self.mirror, &place.name);
         let (members, others): (Vec<SocketAddr>, Vec<SocketAddr>) =
             engines.into_keys().partition(|engine| before.members.contains(engine));
         let mut ranks = vec![None; place.size as usize];
@@ -114,7 +114,7 @@
         members.sort();
         let entry = membership::Entry { service: self.settings.engine.service.clone(), members };
         let recent = self.published.is_some_and(|at| at.elapsed() < PUBLISH_PAUSE);
-        if recent || membership::of(&self.mirror, &place.name) == entry {
+        if recent || membership::entry(&self.mirror, &place.name) == entry {
             return;
         }
         self.published = Some(boot::Instant::now());
