--- a/mirror/src/ends.rs
+++ b/mirror/src/ends.rs
@@ -1,10 +1,14 @@
-//! What gateways know together of requests that end backend servers.
+//! Requests under which backend servers ended, shared among gateways.
 //!
-//! Decisions are those of [`poison`]. News goes along with the records that
-//! peers hand on, one hop in milliseconds; a peer that is followed anew tells
-//! all that it knows. Whom a gateway refuses it also writes to the store, under
-//! a lease: there it outlasts a restart of all gateways, and it is the second
-//! way to gateways that reach no peer.
+//! The *end* of a server is the unplanned exit of one run of its process. A request's *standing*
+//! is whether it is sound, suspected of ending servers or refused for it.
+//!
+//! [`poison`] makes the decisions. Updates travel with the records that peers forward, in
+//! milliseconds per hop. A newly followed peer sends all its items. A gateway also writes each
+//! request that it refuses to the store, under a lease. The store's record survives a restart of
+//! all gateways, and it is the second path to gateways that reach no peer.
+//!
+//! [`poison`]: loftcove_decision::poison
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -23,24 +27,25 @@
 
 use crate::{Mirror, OWN_PREFIX, Source};
 
-/// Items that a follower may be behind before it is told everything anew.
+/// Maximum number of items that a follower may lag behind. Past that, it receives all items again.
 const BACKLOG: usize = 256;
-/// When a gateway writes what another one found and has not written: that one
-/// may be gone, or the store may not answer it. The first is the time that a
-/// write takes to come back by way of the store; the second is drawn by lot, so
-/// that one writes and the others see it.
-const WRITE_WAIT: (Duration, Duration) = (Duration::from_millis(500), Duration::from_secs(1));
-/// Time between two tries to write the same.
-const WRITE_INTERVAL: Duration = Duration::from_secs(2);
-/// Time between two looks for writes that are due, and for ends that no longer
-/// count.
-const LOOK_INTERVAL: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(10));
-
-/// The ends of backend servers, as this process knows them.
+/// Fixed delay and maximum random delay before a gateway writes a refusal that rests on ends that
+/// other gateways found. The gateway that found them may have exited, or the store may not answer
+/// it. The fixed delay is the time that a write takes to come back through the store. With the
+/// random one, a single gateway writes and the others read its record.
+const WRITE_DELAY: (Duration, Duration) = (Duration::from_millis(500), Duration::from_secs(1));
+/// Interval between two attempts to write the same record.
+const WRITE_RETRY_INTERVAL: Duration = Duration::from_secs(2);
+/// Interval between two checks for due writes and expired ends: while a write is pending or an
+/// item is unsettled, and otherwise.
+const CHECK_INTERVALS: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(10));
+
+/// Ends of backend servers that this process knows of, with the requests that they are counted
+/// against.
 pub struct Ends {
     origin: boot::Instant,
     state: Mutex<State>,
-    news: broadcast::Sender<Item>,
+    updates: broadcast::Sender<Item>,
     changes: channel::Sender<u64>,
 }
 
@@ -50,23 +55,23 @@
     burst: Burst,
     finished: Finished,
     abandoned: Abandoned,
-    /// Requests under which this process itself saw a server end.
+    /// Requests under which this process itself found a server ended.
     own: BTreeSet<Digest>,
-    /// Requests whose refusal is logged.
+    /// Requests whose refusal has been logged.
     refused: BTreeSet<Digest>,
 }
 
 impl State {
-    /// Takes what has settled and forgets what no longer counts.
+    /// Applies items that have settled and removes expired ones.
     fn expire(&mut self, now: clock::Instant) {
         self.ledger.expire(now);
         self.log_refusals(now);
     }
 
-    /// Logs each request that is refused from now on or no longer, with the evidence.
+    /// Logs each request whose refusal began, with the evidence, or stopped.
     fn log_refusals(&mut self, now: clock::Instant) {
-        let convicted: BTreeSet<Digest> = self.ledger.refused().collect();
-        for digest in convicted.difference(&self.refused) {
+        let current: BTreeSet<Digest> = self.ledger.refused().collect();
+        for digest in current.difference(&self.refused) {
             let Some(verdict) = self.ledger.verdict(*digest) else { continue };
             let evidence = self.ledger.evidence(*digest, now);
             let evidence: Vec<String> = evidence.iter().map(ToString::to_string).collect();
@@ -75,10 +80,10 @@
                 "request refused digest={digest} ends={ends} ground={ground} evidence={evidence}"
             );
         }
-        for digest in self.refused.difference(&convicted) {
+        for digest in self.refused.difference(&current) {
             log::info!("request no longer refused digest={digest}");
         }
-        self.refused = convicted;
+        self.refused = current;
     }
 }
 
@@ -87,7 +92,7 @@
         Ends {
             origin: boot::Instant::now(),
             state: Mutex::default(),
-            news: broadcast::Sender::new(BACKLOG),
+            updates: broadcast::Sender::new(BACKLOG),
             changes: channel::Sender::new(0),
         }
     }
@@ -95,46 +100,45 @@
 
 impl Ends {
     fn lock(&self) -> MutexGuard<'_, State> {
-        // The ledger is whole after each call; a panic elsewhere is its own fault.
+        // The ledger is consistent after each call, so a poisoned lock can be used.
         self.state.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
     fn now(&self) -> clock::Instant {
-        // A day of uptime and more lies behind the origin, so that times before
-        // the start of this process can be told.
-        let since = self.origin.elapsed() + BEFORE;
+        // The offset of one day makes times before the start of this process representable.
+        let since = self.origin.elapsed() + ORIGIN_OFFSET;
         clock::Instant::from_micros(since.as_micros() as u64)
     }
 
-    /// A backend server was found to have ended under a request, which may have
-    /// been the only suspect that this process had sent there.
+    /// Records that a backend server ended under a request. `alone` is whether the request was the
+    /// only suspect that this process had sent to the server.
     pub fn record_end(&self, run: &fleet::Run, digest: Digest, alone: bool) {
         let now = self.now();
         let mut state = self.lock();
         state.own.insert(digest);
-        let many = state.burst.found(run, now);
+        let burst = state.burst.found(run, now);
         drop(state);
-        let Some(runs) = many else {
+        let Some(runs) = burst else {
             let mark = if alone { Mark::Alone } else { Mark::Suspect };
             let item = Item { run: run.clone(), digest, mark, at: now };
             return self.apply(vec![item], None);
         };
-        log::info!("ends not blamed on requests servers={} reason=many-at-once", runs.len());
+        log::info!("ends not attributed to requests servers={} reason=many-at-once", runs.len());
         let mut state = self.lock();
         let cleared = state.ledger.clear_runs(&runs);
         state.log_refusals(now);
         drop(state);
-        self.tell(cleared);
+        self.publish(cleared);
     }
 
-    /// A request is given up that a backend server may run for so long.
+    /// Records that a request was abandoned. The backend server may still run it for `left`.
     pub fn abandon(&self, run: &fleet::Run, digest: Digest, left: Duration) {
         let until = self.now() + left;
         log::info!("request abandoned digest={digest} server={} ms={}", run.id, left.as_millis());
         self.lock().abandoned.add(run, digest, until);
     }
 
-    /// A request came to its end.
+    /// Clears a request, as it completed.
     pub fn clear(&self, digest: Digest) {
         let now = self.now();
         let mut state = self.lock();
@@ -144,11 +148,11 @@
         drop(state);
         if !cleared.is_empty() {
             log::info!("request cleared digest={digest} ends={}", cleared.len());
-            self.tell(cleared);
+            self.publish(cleared);
         }
     }
 
-    /// What is held of a request.
+    /// Returns the standing of a request.
     pub fn standing(&self, digest: Digest) -> Standing {
         if *self.changes.borrow() == 0 {
             return Standing::Sound;
@@ -169,20 +173,20 @@
         self.lock().ledger.unsettled(now)
     }
 
-    /// Waits until what is known of a request is also what others know: one that
-    /// may have ended a server a moment ago is not sent again before.
+    /// Waits until other gateways have the same items about a request. A request that may have just
+    /// ended a server is not dispatched again before then.
     pub async fn wait_until_settled(&self, digest: Digest) {
         while self.awaits(digest) {
             tokio::time::sleep(SETTLE_TIME / 10).await;
         }
     }
 
-    /// Whether a request is to run apart from other suspects.
+    /// Returns whether a request must run apart from other suspects.
     pub fn apart(&self, digest: Digest) -> bool {
         *self.changes.borrow() > 0 && self.lock().ledger.apart(digest)
     }
 
-    /// Requests that are refused at present.
+    /// Returns the requests that are currently refused.
     pub fn refused_requests(&self) -> Vec<Digest> {
         let now = self.now();
         let mut state = self.lock();
@@ -190,7 +194,7 @@
         state.ledger.refused().collect()
     }
 
-    /// Waits until a request is refused; returns the servers that it ended.
+    /// Waits until a request is refused. Returns the number of servers that it ended.
     pub async fn wait_until_refused(&self, digest: Digest) -> u32 {
         let mut changes = self.changes.subscribe();
         loop {
@@ -210,17 +214,17 @@
         }
     }
 
-    /// Takes items; those that are news are handed on.
+    /// Applies items and forwards those that change the ledger.
     fn apply(&self, items: Vec<Item>, source: Option<Source<'_>>) {
         let now = self.now();
         let mut state = self.lock();
-        let mut news = Vec::new();
+        let mut updates = Vec::new();
         for item in items {
             let before = state.ledger.standing(item.digest);
             if !state.ledger.merge(&item, now) {
                 continue;
             }
-            let mut told = vec![item.clone()];
+            let mut changed = vec![item.clone()];
             for blamed in state.abandoned.blame(&item) {
                 log::info!(
                     "server ended under an abandoned request digest={} server={}",
@@ -228,41 +232,41 @@
                     blamed.run.id
                 );
                 if state.ledger.merge(&blamed, now) {
-                    told.push(blamed);
+                    changed.push(blamed);
                 }
             }
             if item.mark != Mark::Cleared && state.finished.contains(item.digest, now) {
-                told.extend(state.ledger.clear(item.digest));
+                changed.extend(state.ledger.clear(item.digest));
             }
             let after = state.ledger.standing(item.digest);
             if before != after {
                 log_standing(&item, after, source);
             }
-            news.extend(told);
+            updates.extend(changed);
         }
         state.log_refusals(now);
         drop(state);
-        self.tell(news);
+        self.publish(updates);
     }
 
-    fn tell(&self, items: Vec<Item>) {
+    fn publish(&self, items: Vec<Item>) {
         if items.is_empty() {
             return;
         }
         for item in items {
-            // Nobody may be following at present.
-            self.news.send(item).unwrap_or_default();
+            // Sending fails if no peer follows this process.
+            self.updates.send(item).unwrap_or_default();
         }
         self.changes.send_modify(|count| *count += 1);
     }
 
-    /// All items and, from then on, each new one.
+    /// Returns all items and a receiver of each later one.
     pub(crate) fn follow(&self) -> (Vec<Item>, broadcast::Receiver<Item>) {
         let state = self.lock();
-        (state.ledger.items().collect(), self.news.subscribe())
+        (state.ledger.items().collect(), self.updates.subscribe())
     }
 
-    /// An item as a peer is told it.
+    /// Converts an item to its wire form.
     pub(crate) fn to_wire(&self, item: &Item) -> wire::Mark {
         let age = self.now().since(item.at).as_millis();
         wire::Mark {
@@ -275,19 +279,19 @@
         }
     }
 
-    /// Takes what a peer tells.
+    /// Applies marks received from a peer.
     pub(crate) fn receive(&self, marks: Vec<wire::Mark>, peer: &str) {
         let now = self.now();
         let mut items = Vec::new();
         for mark in marks {
             let Some(digest) = Digest::from_bytes(&mark.digest) else {
-                log::error!("mark not readable peer={peer} bytes={}", mark.digest.len());
+                log::error!("invalid mark peer={peer} bytes={}", mark.digest.len());
                 continue;
             };
             items.push(Item {
                 run: fleet::Run { id: mark.server.into(), born: mark.born },
                 digest,
-                mark: mark_of(mark.alone, mark.cleared),
+                mark: mark_from_flags(mark.alone, mark.cleared),
                 at: now.saturating_sub(Duration::from_millis(mark.age_ms.into())),
             });
         }
@@ -297,7 +301,7 @@
     }
 }
 
-fn mark_of(alone: bool, cleared: bool) -> Mark {
+fn mark_from_flags(alone: bool, cleared: bool) -> Mark {
     match (cleared, alone) {
         (true, _) => Mark::Cleared,
         (false, true) => Mark::Alone,
@@ -305,10 +309,10 @@
     }
 }
 
-/// Time that lies before a process's origin: more than any end is kept.
-const BEFORE: Duration = Duration::from_secs(86_400);
+/// Offset of a process's origin. It is longer than the retention of any end.
+const ORIGIN_OFFSET: Duration = Duration::from_secs(86_400);
 
-/// Logs a change of what is held of a request.
+/// Logs a change of a request's standing.
 fn log_standing(item: &Item, standing: Standing, source: Option<Source<'_>>) {
     let from = source.map_or_else(|| "own".to_owned(), |source| source.to_string());
     let (state, ends) = match standing {
@@ -324,20 +328,20 @@
     );
 }
 
-/// A request that is refused, as the store keeps it.
+/// Record of a refused request in the store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 struct Entry {
     ends: Vec<Ended>,
 }
 
-/// A backend server that it ended.
+/// A backend server that the request ended.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 struct Ended {
     server: Arc<str>,
     born: Option<u64>,
-    /// When, Unix milliseconds.
+    /// Time at which the end was found, in Unix milliseconds.
     at: u64,
-    /// Whether it was the only suspect there.
+    /// Whether the request was the only suspect on the server.
     #[serde(default)]
     alone: bool,
 }
@@ -346,32 +350,32 @@
     format!("{OWN_PREFIX}ends/")
 }
 
-/// Keeps in the store whom this gateway refuses, and takes from it whom others
-/// refused, until the process ends.
+/// Runs the task that writes this gateway's refusals to the store and reads those of other gateways
+/// from the mirror. Runs until the process exits.
 pub async fn run<S: Store>(mirror: Arc<Mirror>, store: Arc<S>) {
     let mut records = mirror.subscribe();
     let mut changes = mirror.ends.changes.subscribe();
     let mut read: BTreeMap<Arc<str>, Revision> = BTreeMap::new();
-    // When each request is to be written that the store lacks.
+    // Times at which to write refused requests that the store lacks.
     let mut due: BTreeMap<Digest, boot::Instant> = BTreeMap::new();
     loop {
         records.borrow_and_update();
         changes.borrow_and_update();
         mirror.ends.expire();
         mirror.ends.import(&mirror, &mut read);
-        let lacking = mirror.ends.lacking(&mirror);
-        due.retain(|digest, _| lacking.contains(digest));
-        for digest in lacking {
+        let unwritten = mirror.ends.unwritten(&mirror);
+        due.retain(|digest, _| unwritten.contains(digest));
+        for digest in unwritten {
             let at = *due.entry(digest).or_insert_with(|| mirror.ends.write_time(digest));
             if at <= boot::Instant::now() {
-                due.insert(digest, boot::Instant::now() + WRITE_INTERVAL);
+                due.insert(digest, boot::Instant::now() + WRITE_RETRY_INTERVAL);
                 mirror.ends.write(&*store, digest).await;
             }
         }
         let soon = !due.is_empty() || mirror.ends.unsettled();
-        let look = if soon { LOOK_INTERVAL.0 } else { LOOK_INTERVAL.1 };
+        let interval = if soon { CHECK_INTERVALS.0 } else { CHECK_INTERVALS.1 };
         tokio::select! {
-            () = tokio::time::sleep(look) => {}
+            () = tokio::time::sleep(interval) => {}
             _ = records.changed() => {}
             _ = changes.changed() => {}
         }
@@ -379,7 +383,7 @@
 }
 
 impl Ends {
-    /// Reads from the mirror what others have written.
+    /// Applies records in the mirror that are new or have a new revision.
     fn import(&self, mirror: &Mirror, read: &mut BTreeMap<Arc<str>, Revision>) {
         let records = mirror.below(&prefix());
         read.retain(|key, _| records.iter().any(|record| record.key == *key));
@@ -387,21 +391,21 @@
             if read.insert(record.key.clone(), record.revision) == Some(record.revision) {
                 continue;
             }
-            self.apply(self.items_of(&record), Some(Source::Store));
+            self.apply(self.items_from_record(&record), Some(Source::Store));
         }
     }
 
-    fn items_of(&self, record: &mirror::Record) -> Vec<Item> {
+    fn items_from_record(&self, record: &mirror::Record) -> Vec<Item> {
         let digest = record.key.strip_prefix(&prefix()).and_then(Digest::from_text);
         let entry = serde_json::from_slice::<Entry>(record.value.as_deref().unwrap_or_default());
         let (digest, entry) = match (digest, entry) {
             (Some(digest), Ok(entry)) => (digest, entry),
             (None, _) => {
-                log::error!("ends not readable key={} error=\"no digest\"", record.key);
+                log::error!("invalid record of ends key={} error=\"no digest\"", record.key);
                 return Vec::new();
             }
             (_, Err(error)) => {
-                log::error!("ends not readable key={} error=\"{error}\"", record.key);
+                log::error!("invalid record of ends key={} error=\"{error}\"", record.key);
                 return Vec::new();
             }
         };
@@ -409,13 +413,13 @@
         let item = |ended: Ended| Item {
             run: fleet::Run { id: ended.server, born: ended.born },
             digest,
-            mark: mark_of(ended.alone, false),
+            mark: mark_from_flags(ended.alone, false),
             at: now.saturating_sub(Duration::from_millis(wall.saturating_sub(ended.at))),
         };
         entry.ends.into_iter().map(item).collect()
     }
 
-    /// Forgets what no longer counts.
+    /// Removes expired items.
     fn expire(&self) {
         let now = self.now();
         let mut state = self.lock();
@@ -424,15 +428,16 @@
         own.retain(|digest| ledger.standing(*digest) != Standing::Sound);
     }
 
-    /// When this process writes whom it refuses: at once where it saw an end itself.
+    /// Returns the time at which this process writes a refusal. It writes immediately if it found
+    /// an end itself.
     fn write_time(&self, digest: Digest) -> boot::Instant {
         let own = self.lock().own.contains(&digest);
-        let wait = WRITE_WAIT.0 + WRITE_WAIT.1.mul_f64(rand::random());
+        let wait = WRITE_DELAY.0 + WRITE_DELAY.1.mul_f64(rand::random());
         boot::Instant::now() + if own { Duration::ZERO } else { wait }
     }
 
-    /// Requests that are refused and of which the mirror has no record.
-    fn lacking(&self, mirror: &Mirror) -> Vec<Digest> {
+    /// Returns the refused requests of which the mirror has no record.
+    fn unwritten(&self, mirror: &Mirror) -> Vec<Digest> {
         let mut refused = self.refused_requests();
         refused.retain(|digest| mirror.get(&format!("{}{digest}", prefix())).is_none());
         refused
@@ -473,7 +478,7 @@
         if outcome != store::Outcome::Conflict {
             return Ok(outcome);
         }
-        // Another gateway was first: its lease holds.
+        // Another gateway's record came first and has its own lease.
         store.end(lease).await?;
         Ok(outcome)
     }
--- a/mirror/src/lifts.rs
+++ b/mirror/src/lifts.rs
@@ -1,9 +1,9 @@
-//! Rate limits of backend servers that were lifted, told to all gateways.
+//! Lifted rate limits of backend servers, shared among all gateways.
 //!
-//! Most gateways send nothing to a server that names a rate limit, and hear of its end
-//! after minutes. Whoever hears it first by an answer writes it to the store, under a
-//! lease; that a record goes says nothing. Without the store each gateway hears it
-//! by itself.
+//! Most gateways send nothing to a server that reports a rate limit, so they would find out only
+//! after minutes that it is lifted. The first gateway to learn it from an answer writes a record to
+//! the store, under a lease. The removal of a record means nothing. While the store is unavailable,
+//! each gateway learns it from answers to its own requests.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -18,40 +18,41 @@
 
 use crate::{Mirror, OWN_PREFIX};
 
-/// How long a record is kept: longer than any gateway is behind the store.
-const KEPT: Duration = Duration::from_secs(60);
-/// Longest time, by lot, that a gateway waits for another one to write what both have
-/// heard.
-const WAIT: Duration = Duration::from_millis(400);
-/// Time between two tries to write the same, and until it is given up.
+/// Time for which a record is kept. It is longer than any gateway lags behind the store.
+const RETENTION: Duration = Duration::from_secs(60);
+/// Maximum random delay before a write, in which another gateway that learnt the same may write
+/// first.
+const MAX_WRITE_DELAY: Duration = Duration::from_millis(400);
+/// Interval between two attempts to write the same record, and the time after which the write is
+/// abandoned.
 const RETRY: (Duration, Duration) = (Duration::from_secs(2), Duration::from_secs(60));
 
-/// What a gateway has heard and read. Its lock is taken before that of the copy of the
-/// store, never within it.
+/// Lifted limits that a gateway learnt from answers and read from records. To prevent a deadlock,
+/// its lock is acquired before the mirror's, never while the mirror's is held.
 #[derive(Debug, Default)]
 pub struct Lifts {
     state: Mutex<State>,
-    heard: Notify,
+    added: Notify,
 }
 
 #[derive(Debug, Default)]
 struct State {
-    /// Runs whose limits were lifted and which are to be written.
+    /// Runs whose lifted limits are not yet written.
     pending: BTreeMap<fleet::Run, Pending>,
-    /// Revisions of the records that were read, by server.
+    /// Revisions of the records that have been read, by server.
     read: BTreeMap<Arc<str>, Revision>,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Pending {
-    heard: boot::Instant,
-    /// When it is to be written.
+    learnt: boot::Instant,
+    /// Time of the next attempt to write.
     due: boot::Instant,
-    /// Revision of the server's record at that time, zero where there was none.
+    /// Revision of the server's record when the lift was learnt; zero if there was no record.
     revision: Revision,
 }
 
-/// A record.
+/// Record of a lifted limit in the store.
 #[derive(Debug, Serialize, Deserialize)]
 struct Entry {
     born: Option<u64>,
@@ -67,21 +68,21 @@
 
 impl Lifts {
     fn lock(&self) -> MutexGuard<'_, State> {
-        // Each change is one insertion or removal.
+        // Each change is one insertion or removal, so a poisoned lock can be used.
         self.state.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
-    /// A run names a rate limit: what is not yet written of its end is out of date.
+    /// Discards the unwritten lift of a run, as the run reports a limit again.
     pub fn discard_pending(&self, run: &fleet::Run) {
         self.lock().pending.remove(run);
     }
 
-    /// Runs whose limits others found lifted, since the last call.
+    /// Returns the runs whose limits other gateways found to be lifted since the last call.
     pub fn take_updates(&self, mirror: &Mirror) -> Vec<fleet::Run> {
         let records = mirror.below(&prefix());
         let mut state = self.lock();
         state.read.retain(|server, _| records.iter().any(|record| *record.key == *key(server)));
-        let mut news = Vec::new();
+        let mut updates = Vec::new();
         for record in records {
             let Some(server) = record.key.strip_prefix(&prefix()) else { continue };
             let server: Arc<str> = server.into();
@@ -89,31 +90,34 @@
                 continue;
             }
             match serde_json::from_slice::<Entry>(record.value.as_deref().unwrap_or_default()) {
-                Ok(entry) => news.push(fleet::Run { id: server, born: entry.born }),
-                Err(error) => log::error!("lift not readable key={} error=\"{error}\"", record.key),
+                Ok(entry) => updates.push(fleet::Run { id: server, born: entry.born }),
+                Err(error) => {
+                    log::error!("invalid lift record key={} error=\"{error}\"", record.key)
+                }
             }
         }
-        news
+        updates
     }
 }
 
 impl Mirror {
-    /// An answer of a run showed that its rate limit is lifted.
+    /// Records that a run's rate limit is lifted, as an answer of the run showed.
     pub fn record_lift(&self, run: &fleet::Run) {
         let revision = self.record(&key(&run.id)).map_or(Revision::ZERO, |record| record.revision);
-        let heard = boot::Instant::now();
-        let due = heard + WAIT.mul_f64(rand::random());
-        self.lifts.lock().pending.insert(run.clone(), Pending { heard, due, revision });
-        self.lifts.heard.notify_one();
+        let learnt = boot::Instant::now();
+        let due = learnt + MAX_WRITE_DELAY.mul_f64(rand::random());
+        self.lifts.lock().pending.insert(run.clone(), Pending { learnt, due, revision });
+        self.lifts.added.notify_one();
     }
 
-    /// The next lift that is due, or how long it is until then.
+    /// Returns the next lift that is due. The error is the time until one is due, or none if no
+    /// lift is pending.
     fn next_lift(&self) -> Result<fleet::Run, Option<Duration>> {
         let mut state = self.lifts.lock();
         state.pending.retain(|run, pending| {
             let record =
                 self.record(&key(&run.id)).map_or(Revision::ZERO, |record| record.revision);
-            pending.heard.elapsed() < RETRY.1 && record == pending.revision
+            pending.learnt.elapsed() < RETRY.1 && record == pending.revision
         });
         let next = state.pending.iter_mut().min_by_key(|(_, pending)| pending.due);
         let Some((run, pending)) = next else { return Err(None) };
@@ -126,7 +130,7 @@
     }
 }
 
-/// Writes lifts that this gateway heard of until the process ends.
+/// Runs the task that writes this gateway's lifts to the store until the process exits.
 pub async fn run<S: Store>(mirror: Arc<Mirror>, store: Arc<S>) {
     loop {
         match mirror.next_lift() {
@@ -135,7 +139,7 @@
                 let wait = tokio::time::sleep(wait.unwrap_or(RETRY.1));
                 tokio::select! {
                     () = wait => {}
-                    () = mirror.lifts.heard.notified() => {}
+                    () = mirror.lifts.added.notified() => {}
                 }
             }
         }
@@ -145,17 +149,17 @@
 async fn write<S: Store>(mirror: &Mirror, store: &S, run: &fleet::Run) {
     match try_write(store, run).await {
         Ok(outcome) => {
-            log::info!("limit's end told server={} outcome={outcome:?}", run.id);
+            log::info!("lift written server={} outcome={outcome:?}", run.id);
             mirror.lifts.lock().pending.remove(run);
         }
-        Err(error) => log::warn!("limit's end not told server={} error=\"{error}\"", run.id),
+        Err(error) => log::warn!("lift not written server={} error=\"{error}\"", run.id),
     }
 }
 
 async fn try_write<S: Store>(store: &S, run: &fleet::Run) -> Result<store::Outcome, store::Error> {
     let value = serde_json::to_vec(&Entry { born: run.born })
         .map_err(|error| store::Error::Protocol { status: 0, reason: error.to_string() })?;
-    let lease = store.grant(KEPT).await?;
+    let lease = store.grant(RETENTION).await?;
     let write = store::Write {
         key: key(&run.id).into(),
         value: Some(value.into()),
--- a/mirror/src/membership.rs
+++ b/mirror/src/membership.rs
@@ -1,8 +1,8 @@
-//! Which backend servers are the ranks of one lock-step group.
+//! Members of lock-step groups: the backend servers that are the ranks of each group.
 //!
-//! Only the engines know: the driver of a group, who has asked them all, writes
-//! it to the store when it has changed. So gateways need not ask engines, and
-//! still know it while the driver or the store is away.
+//! Only the engines know the membership. The driver of a group queries all its engines and writes
+//! the members to the store when they change. Gateways therefore need not query engines, and they
+//! know the members while the driver or the store is unavailable.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,13 +12,13 @@
 
 use crate::{Mirror, OWN_PREFIX};
 
-/// The members of a group.
+/// Members of a group.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
     /// Service that the group belongs to.
     pub service: Arc<str>,
-    /// Where its engines take requests, in ascending order. An engine that
-    /// starts again at its address has the same rank.
+    /// Addresses at which its engines accept requests, in ascending order. An engine that restarts
+    /// at its address has the same rank.
     pub members: Vec<SocketAddr>,
 }
 
@@ -30,13 +30,13 @@
     match serde_json::from_slice(record.value.as_ref()?) {
         Ok(entry) => Some(entry),
         Err(error) => {
-            log::error!("membership not readable key={} error=\"{error}\"", record.key);
+            log::error!("invalid membership record key={} error=\"{error}\"", record.key);
             None
         }
     }
 }
 
-/// The groups that are known, by name.
+/// Returns the known groups with their names.
 pub fn entries(mirror: &Mirror) -> Vec<(Arc<str>, Entry)> {
     let prefix = prefix();
     let records = mirror.below(&prefix);
@@ -47,15 +47,14 @@
     named.collect()
 }
 
-/// The members of a group as they were last written; none where they never were.
+/// Returns the members of a group as last written. The entry is empty if none was written.
 pub fn entry(mirror: &Mirror, group: &str) -> Entry {
     let record = mirror.record(&format!("{}{group}", prefix()));
     record.as_ref().and_then(read).unwrap_or_default()
 }
 
-/// Writes the members of a group if they are others than before. Where it
-/// fails, the next driver or epoch tries again; until then gateways know the
-/// members of before.
+/// Writes the members of a group if they changed. After a failure, the next driver or epoch retries
+/// the write; until then gateways use the previous members.
 pub async fn publish<S: Store>(store: &S, mirror: &Mirror, group: &str, entry: &Entry) {
     let key: Arc<str> = format!("{}{group}", prefix()).into();
     let before = mirror.record(&key);
--- a/mirror/src/register.rs
+++ b/mirror/src/register.rs
@@ -1,7 +1,7 @@
-//! Registers a gateway with its peers, under a lease in the store.
+//! Registration of gateways in the store, under a lease, for their peers.
 //!
-//! Renewing the lease is also a check whether the store answers at all. The
-//! watches are on other connections and have checks of their own ([`crate::watch`]).
+//! Each renewal of the lease also checks whether the store answers. The watches use other
+//! connections and have separate checks ([`crate::watch`]).
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -14,16 +14,17 @@
 
 use crate::{Mirror, OWN_PREFIX};
 
-/// How long an entry outlasts its owner. Peers skip a dead one by themselves.
+/// Time for which an entry outlives its owner. Peers skip an unreachable one without waiting for
+/// its expiry.
 const TTL: Duration = Duration::from_secs(20);
-/// Time between two renewals of one that watches the store, or that the store
-/// does not answer; a renewal costs a tenth of a read.
+/// Interval between two renewals of a gateway that watches the store or gets no answer from it. A
+/// renewal costs a tenth of a read.
 const RENEWAL: Duration = Duration::from_millis(1_500);
-/// The same for one that relies on peers. What a renewal shows of the store
-/// matters little to it, and the entry outlasts three that are lost.
+/// Interval between two renewals of a gateway that relies on peers. Such a gateway hardly needs the
+/// renewal as a check of the store, and the entry outlives three lost renewals.
 const SLOW_RENEWAL: Duration = Duration::from_secs(5);
 
-/// A gateway's entry.
+/// Entry of a gateway.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
     /// Address for its peers.
@@ -36,7 +37,7 @@
     format!("{OWN_PREFIX}gateways/")
 }
 
-/// The gateways that are registered, by name.
+/// Returns the registered gateways with their names.
 pub fn entries(mirror: &Mirror) -> Vec<(Arc<str>, Entry)> {
     let prefix = prefix();
     let records = mirror.below(&prefix).into_iter();
@@ -45,7 +46,7 @@
         match serde_json::from_slice(&record.value?) {
             Ok(entry) => Some((name, entry)),
             Err(error) => {
-                log::error!("gateway entry not readable key={} error=\"{error}\"", record.key);
+                log::error!("invalid gateway entry key={} error=\"{error}\"", record.key);
                 None
             }
         }
@@ -53,102 +54,101 @@
     records.filter_map(read).collect()
 }
 
-/// Gateways that watch the store over all zones, and the least and most of one
-/// zone. Each costs calls of the store, for every change. With nine, a store
-/// that rejects a third of all hosts rejects all of them once in 20,000
-/// times; with two of a zone it takes both, and their peers in other zones, for
-/// a change not to be heard of at once, and who lacks peers watches as well.
+/// Number of gateways that watch the store, over all zones. Each one costs calls to the store for
+/// every change. A store that rejects a third of all hosts rejects all nine once in 20,000 times.
 const WATCHERS: usize = 9;
-const WATCHERS_OF_ZONE: (usize, usize) = (2, 3);
-/// Peers that a gateway must follow to rely on them: two that are cut off
-/// together with it are not enough.
-const RELIED_ON: usize = 3;
-/// Time from its start in which a gateway expects its first peers to tell it
-/// everything, rather than reading it all from the store: hundreds that start
-/// at once would cost it several calls each. Peers tell within half a second, or
-/// a second where the first connection finds a host that is still down; of those
-/// that others ask first, the seeds, each reads by itself.
-const FIRST_NEWS: Duration = Duration::from_millis(1_500);
-/// Part of the shortest bound for a change for which a gateway that has lost a
-/// peer still relies on those that are left, if they reach the store: it looks
-/// for another meanwhile, and after a cut it tries some that are gone. What is
-/// left of the bound is for reading everything from the store.
-const CHANGE_OF_PEER: f64 = 0.3;
-
-/// A gateway that may watch the store.
+/// Minimum and maximum number of gateways of one zone that watch the store. With two, a change is
+/// delayed only if both of them and their peers in other zones miss it. Gateways that lack peers
+/// watch as well.
+const WATCHERS_PER_ZONE: (usize, usize) = (2, 3);
+/// Number of peers that a gateway must follow to rely on them. Two are not enough, as both may be
+/// partitioned together with the gateway.
+const MIN_RELIED_PEERS: usize = 3;
+/// Time after its start for which a gateway waits for its first peers to send all records, instead
+/// of reading them from the store. If hundreds of gateways start at once, each read would cost the
+/// store several calls. Peers answer within half a second, or within a second if the first
+/// connection is to a host that is still down. Seeds, which other gateways ask first, read from the
+/// store immediately.
+const FIRST_UPDATE_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Part of the shortest bound for a change during which a gateway that has lost a peer still relies
+/// on the remaining ones, if they reach the store. Meanwhile it connects to another peer; after a
+/// partition some of those that it tries are gone. The rest of the bound is for reading all records
+/// from the store.
+const PEER_CHANGE_SHARE: f64 = 0.3;
+
+/// This gateway, as far as it matters for watching the store.
 #[derive(Debug, Clone)]
 pub struct Own {
     /// Name of the host.
     pub name: Arc<str>,
-    /// Its availability zone.
+    /// Availability zone of the host.
     pub zone: Arc<str>,
-    /// Whether others ask it first when they start.
+    /// Whether it is a seed, which other gateways ask first when they start.
     pub seed: bool,
-    /// Shortest time within which a change is to be in force.
+    /// Shortest bound within which a change must take effect.
     pub bound: Duration,
 }
 
-/// Whether a gateway is to watch the store itself: it is one of the first of
-/// its zone, or it has too few peers, or the store answers it while none of
-/// them is within reach of the store.
+/// Returns whether a gateway must watch the store itself: it is one of the first of its zone, or it
+/// has too few peers, or the store answers it while none of its peers reaches the store.
 pub fn watches(mirror: &Mirror, own: &Own) -> bool {
     let entries = entries(mirror);
-    let starting = !own.seed && mirror.origin.elapsed() < FIRST_NEWS;
-    let watcher = match place(&entries, own) {
-        Some(place) => place < watchers_of_zone(&entries),
+    let starting = !own.seed && mirror.origin.elapsed() < FIRST_UPDATE_TIMEOUT;
+    let watcher = match zone_position(&entries, own) {
+        Some(position) => position < watchers_per_zone(&entries),
         None => !starting,
     };
     mirror.distance.set_watcher(watcher);
-    watcher || !(starting || relies(mirror, own.bound))
+    watcher || !(starting || can_rely_on_peers(mirror, own.bound))
 }
 
-/// Place of a gateway among those of its zone; `None` where it is not yet known
-/// to be registered.
-fn place(entries: &[(Arc<str>, Entry)], own: &Own) -> Option<usize> {
+/// Returns the position of a gateway among those of its zone, or none if its registration is not
+/// yet known.
+fn zone_position(entries: &[(Arc<str>, Entry)], own: &Own) -> Option<usize> {
     let zone = entries.iter().filter(|(_, entry)| entry.zone == own.zone);
     zone.map(|(name, _)| name).position(|name| *name == own.name)
 }
 
-fn watchers_of_zone(entries: &[(Arc<str>, Entry)]) -> usize {
+fn watchers_per_zone(entries: &[(Arc<str>, Entry)]) -> usize {
     let zones: BTreeSet<&Arc<str>> = entries.iter().map(|(_, entry)| &entry.zone).collect();
-    let (least, most) = WATCHERS_OF_ZONE;
+    let (least, most) = WATCHERS_PER_ZONE;
     WATCHERS.div_ceil(zones.len().max(1)).clamp(least, most)
 }
 
-/// Whether a gateway may rely on the peers that it follows, or did until just now.
-fn relies(mirror: &Mirror, bound: Duration) -> bool {
+/// Returns whether a gateway may rely on the peers that it follows, or could until recently.
+fn can_rely_on_peers(mirror: &Mirror, bound: Duration) -> bool {
     let followed = mirror.followed.load(std::sync::atomic::Ordering::Relaxed);
     let reached = mirror.distance.peers_reach() || !mirror.health.up();
-    let enough = reached && followed >= RELIED_ON;
-    mirror.relied.look(enough, reached, bound.mul_f64(CHANGE_OF_PEER))
+    let enough = reached && followed >= MIN_RELIED_PEERS;
+    mirror.relied.update(enough, reached, bound.mul_f64(PEER_CHANGE_SHARE))
 }
 
-/// When a gateway last had enough peers.
+/// Time at which a gateway last had enough peers.
 #[derive(Debug, Default)]
 pub struct Relied {
     last: Mutex<Option<boot::Instant>>,
 }
 
 impl Relied {
-    /// Takes whether it has enough peers now, and whether any of them reaches the
-    /// store; returns whether it may rely on them, having had enough within `patience`.
-    fn look(&self, enough: bool, reached: bool, patience: Duration) -> bool {
-        // Each change is one assignment.
+    /// Records whether the gateway now has enough peers, and returns whether it may rely on them:
+    /// it has enough, or it had enough within `grace` and its peers reach the store (`reached`).
+    fn update(&self, enough: bool, reached: bool, grace: Duration) -> bool {
+        // Each change is one assignment, so a poisoned lock can be used.
         let mut last = self.last.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
         if enough {
             *last = Some(boot::Instant::now());
         }
-        enough || reached && last.is_some_and(|at| at.elapsed() < patience)
+        enough || reached && last.is_some_and(|at| at.elapsed() < grace)
     }
 }
 
-/// Keeps the entry until the process ends.
+/// Runs the task that keeps the gateway's entry registered until the process exits.
 pub async fn run<S: Store>(mirror: Arc<Mirror>, store: Arc<S>, name: Arc<str>, entry: Entry) {
     let mut lease = None;
     loop {
         let mut rest = Duration::ZERO;
         let result = match lease {
-            None => begin(&*store, &name, &entry).await.map(Some),
+            None => register(&*store, &name, &entry).await.map(Some),
             Some(lease) => match store.keep(lease).await {
                 Ok(true) => Ok(Some(lease)),
                 Ok(false) => Ok(None),
@@ -158,16 +158,16 @@
         match result {
             Ok(next) => {
                 mirror.store_answered();
-                let over = lease.is_some() && next.is_none();
+                let expired = lease.is_some() && next.is_none();
                 lease = next;
-                if over {
-                    log::warn!("registration lapsed next=register");
+                if expired {
+                    log::warn!("registration expired next=register");
                     continue;
                 }
             }
             Err(error) => {
                 mirror.store_failed(&error);
-                // The entry outlasts several renewals of the slower kind.
+                // The entry outlives several renewals at the slower interval.
                 rest = error.rest().min(SLOW_RENEWAL);
             }
         }
@@ -177,7 +177,7 @@
     }
 }
 
-async fn begin<S: Store>(
+async fn register<S: Store>(
     store: &S,
     name: &str,
     entry: &Entry,
--- a/mirror/tests/ends.rs
+++ b/mirror/tests/ends.rs
@@ -1,4 +1,4 @@
-//! What gateways tell each other of requests that end backend servers.
+//! Exchange of items between gateways about requests that end backend servers.
 
 #![allow(clippy::unwrap_used, reason = "a test that fails may panic")]
 
@@ -18,14 +18,14 @@
 
 use common::host;
 
-/// Time within which all gateways that reach each other are to know: the users' bound.
+/// Users' bound on the time until all gateways that reach each other have an item.
 const BOUND: Duration = Duration::from_millis(3_000);
 
 fn run(number: u32) -> fleet::Run {
     fleet::Run { id: format!("server-{number}").into(), born: Some(7) }
 }
 
-fn guilty() -> Digest {
+fn poison() -> Digest {
     Digest::of(&[b"guilty"])
 }
 
@@ -35,47 +35,47 @@
     tokio::spawn(follow::run(mirror.clone(), peers, 0));
 }
 
-/// Servers that it ended, once the host refuses the request.
-async fn refuses(mirror: &Mirror) -> u32 {
-    tokio::time::timeout(BOUND, mirror.ends.wait_until_refused(guilty()))
+/// Waits until a host refuses the poison request. Returns the number of servers that it ended.
+async fn wait_until_refused_by(mirror: &Mirror) -> u32 {
+    tokio::time::timeout(BOUND, mirror.ends.wait_until_refused(poison()))
         .await
-        .expect("heard in time")
+        .expect("refused within the bound")
 }
 
-/// Waits until a host holds just that of the request.
-async fn holds(mirror: &Mirror, standing: Standing) {
-    let held = async {
-        while mirror.ends.standing(guilty()) != standing {
+/// Waits until the poison request has the given standing at a host.
+async fn wait_for_standing(mirror: &Mirror, standing: Standing) {
+    let reached = async {
+        while mirror.ends.standing(poison()) != standing {
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
     };
-    tokio::time::timeout(BOUND, held).await.expect("held in time");
+    tokio::time::timeout(BOUND, reached).await.expect("standing reached within the bound");
 }
 
-/// Each of the ends was seen by another host, and none of these refuses it alone.
+/// Each end was found by a different host, and one end alone does not get the request refused.
 #[tokio::test]
-async fn ends_that_different_hosts_saw_add_up_over_two_hops() {
+async fn ends_found_by_different_hosts_add_up_over_two_hops() {
     let ((first, at_first), (second, at_second)) = (host("norte").await, host("norte").await);
     let third: Arc<Mirror> = Arc::default();
     follow(&second, at_first);
     follow(&third, at_second);
-    first.ends.record_end(&run(1), guilty(), false);
-    second.ends.record_end(&run(2), guilty(), false);
-    assert_eq!(refuses(&third).await, 2);
-    // Who comes later is told everything.
-    let late: Arc<Mirror> = Arc::default();
-    follow(&late, at_second);
-    assert_eq!(refuses(&late).await, 2);
-    // The first follows nobody.
-    assert_eq!(first.ends.standing(guilty()), Standing::Suspect(1));
+    first.ends.record_end(&run(1), poison(), false);
+    second.ends.record_end(&run(2), poison(), false);
+    assert_eq!(wait_until_refused_by(&third).await, 2);
+    // A later follower receives all items.
+    let follower: Arc<Mirror> = Arc::default();
+    follow(&follower, at_second);
+    assert_eq!(wait_until_refused_by(&follower).await, 2);
+    // The first host follows no peer.
+    assert_eq!(first.ends.standing(poison()), Standing::Suspect(1));
 }
 
-/// With few peers drawn by lot, some hosts are followed by nobody.
+/// Hosts choose few peers at random, so some hosts have no followers.
 #[tokio::test]
-async fn a_host_that_nobody_follows_tells_those_that_it_follows() {
+async fn a_host_without_followers_sends_items_to_the_peers_that_it_follows() {
     let (followed, address) = host("norte").await;
     let alone: Arc<Mirror> = Arc::default();
-    alone.ends.record_end(&run(1), guilty(), false);
+    alone.ends.record_end(&run(1), poison(), false);
     let own = follow::Own {
         name: "alone".into(),
         zone: "norte".into(),
@@ -83,65 +83,65 @@
     };
     let peers = Arc::new(follow::Peers::new(own, vec![address]));
     tokio::spawn(follow::run(alone.clone(), peers, 0));
-    holds(&followed, Standing::Suspect(1)).await;
-    alone.ends.record_end(&run(2), guilty(), false);
-    assert_eq!(refuses(&followed).await, 2);
+    wait_for_standing(&followed, Standing::Suspect(1)).await;
+    alone.ends.record_end(&run(2), poison(), false);
+    assert_eq!(wait_until_refused_by(&followed).await, 2);
 }
 
 #[tokio::test]
-async fn who_came_to_its_end_is_cleared_everywhere() {
+async fn a_completed_request_is_cleared_on_all_hosts() {
     let (first, address) = host("norte").await;
     let second: Arc<Mirror> = Arc::default();
     follow(&second, address);
-    first.ends.record_end(&run(1), guilty(), false);
-    first.ends.record_end(&run(2), guilty(), false);
-    refuses(&second).await;
-    first.ends.clear(guilty());
-    holds(&second, Standing::Sound).await;
-    // What is told again does not bring it back.
-    first.ends.record_end(&run(1), guilty(), false);
-    assert_eq!(first.ends.standing(guilty()), Standing::Sound);
+    first.ends.record_end(&run(1), poison(), false);
+    first.ends.record_end(&run(2), poison(), false);
+    wait_until_refused_by(&second).await;
+    first.ends.clear(poison());
+    wait_for_standing(&second, Standing::Sound).await;
+    // The same end, recorded again, does not make it a suspect.
+    first.ends.record_end(&run(1), poison(), false);
+    assert_eq!(first.ends.standing(poison()), Standing::Sound);
 }
 
-/// The pattern: many callers send the same, which is on every server that ends.
-/// Another host has seen it come to its end.
+/// Guards against refusal of a request that many clients send alike and that therefore is on every
+/// server that ends. Another host has completed it.
 #[tokio::test]
-async fn what_many_send_alike_is_not_refused() {
+async fn a_request_completed_elsewhere_is_not_refused() {
     let ((first, at_first), (second, at_second)) = (host("norte").await, host("norte").await);
     follow(&first, at_second);
     follow(&second, at_first);
-    second.ends.clear(guilty());
+    second.ends.clear(poison());
     for number in 1..=3 {
-        first.ends.record_end(&run(number), guilty(), false);
-        holds(&first, Standing::Sound).await;
+        first.ends.record_end(&run(number), poison(), false);
+        wait_for_standing(&first, Standing::Sound).await;
     }
-    assert_eq!(second.ends.standing(guilty()), Standing::Sound);
+    assert_eq!(second.ends.standing(poison()), Standing::Sound);
 }
 
-/// The only connection to a peer falls silent, and new ones work.
+/// The only connection to a peer stops carrying data, while new connections work.
 #[tokio::test]
-async fn news_is_heard_in_time_over_a_connection_that_fell_silent() {
+async fn items_arrive_within_the_bound_after_a_connection_falls_silent() {
     let (source, address) = host("norte").await;
     let proxy = Proxy::default();
     let answer = proxy.obey(&format!("target host norte {address}")).await.unwrap();
     let mirror: Arc<Mirror> = Arc::default();
     follow(&mirror, answer.rsplit(' ').next().unwrap().parse().unwrap());
-    source.ends.record_end(&run(1), guilty(), false);
-    holds(&mirror, Standing::Suspect(1)).await;
+    source.ends.record_end(&run(1), poison(), false);
+    wait_for_standing(&mirror, Standing::Suspect(1)).await;
     proxy.obey("link * host silence").await.unwrap();
-    source.ends.record_end(&run(2), guilty(), false);
-    assert_eq!(refuses(&mirror).await, 2);
+    source.ends.record_end(&run(2), poison(), false);
+    assert_eq!(wait_until_refused_by(&mirror).await, 2);
 }
 
-/// A host that refuses a request writes it to the store, in a second try, and
-/// another one that follows nobody takes it from there.
+/// A host writes a refused request to the store, on its second attempt as the first is lost. A host
+/// that follows no peer reads it from there.
 #[tokio::test]
-async fn the_store_is_a_second_way() {
+async fn a_refusal_reaches_a_host_without_peers_through_the_store() {
     let store = Arc::new(Calls::new(Plan { lost_grants: 1, ..Plan::default() }));
     let mirror: Arc<Mirror> = Arc::default();
     tokio::spawn(ends::run(mirror.clone(), store.clone()));
-    mirror.ends.record_end(&run(1), guilty(), false);
-    mirror.ends.record_end(&run(2), guilty(), false);
+    mirror.ends.record_end(&run(1), poison(), false);
+    mirror.ends.record_end(&run(2), poison(), false);
     let write = async {
         loop {
             if let Some(write) = store.seen().write {
@@ -150,7 +150,7 @@
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     };
-    let write = tokio::time::timeout(BOUND, write).await.expect("written in time");
+    let write = tokio::time::timeout(BOUND, write).await.expect("written within the bound");
     assert_eq!(
         (write.expected, write.lease),
         (Some(Revision::ZERO), Some(Lease { era: 0, id: 1 }))
@@ -161,48 +161,48 @@
     let alone: Arc<Mirror> = Arc::default();
     tokio::spawn(ends::run(alone.clone(), Arc::<Calls>::default()));
     alone.apply(vec![record.clone()], Source::Store);
-    assert_eq!(refuses(&alone).await, 2);
-    // An entry of another writer names nobody.
+    assert_eq!(wait_until_refused_by(&alone).await, 2);
+    // An invalid entry of another writer changes nothing.
     let spoilt =
         mirror::Record { value: Some("{".into()), revision: Revision::new(0, 6), ..record };
     alone.apply(vec![spoilt], Source::Store);
-    assert_eq!(alone.ends.standing(guilty()), Standing::Refused(2));
+    assert_eq!(alone.ends.standing(poison()), Standing::Refused(2));
 }
 
 #[tokio::test]
-async fn a_lease_that_is_not_needed_is_ended() {
+async fn ends_the_lease_if_another_gateway_wrote_first() {
     let store = Arc::new(Calls::new(Plan { taken: true, ..Plan::default() }));
     let mirror: Arc<Mirror> = Arc::default();
     tokio::spawn(ends::run(mirror.clone(), store.clone()));
-    mirror.ends.record_end(&run(1), guilty(), false);
-    mirror.ends.record_end(&run(2), guilty(), false);
+    mirror.ends.record_end(&run(1), poison(), false);
+    mirror.ends.record_end(&run(2), poison(), false);
     let ended = async {
         while store.seen().ended == 0 {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     };
-    tokio::time::timeout(BOUND, ended).await.expect("ended in time");
+    tokio::time::timeout(BOUND, ended).await.expect("ended within the bound");
 }
 
-/// Seen: a proper request was refused whose server ended under another one. How: that one had
-/// been refused 15 ms after it was sent, its connection closed, and the next suspect sent to
-/// the same server, which went on with it.
+/// Guards against refusal of a proper request whose server ended under another one. The other
+/// request was refused 15 ms after its dispatch and its connection closed, but the server went on
+/// running it. The next suspect was then dispatched to the same server.
 #[tokio::test]
-async fn a_server_that_ends_under_a_request_that_was_given_up_is_held_against_that_one() {
+async fn an_end_under_an_abandoned_request_counts_against_that_request() {
     let ((first, at_first), second) = (host("norte").await, Arc::<Mirror>::default());
     follow(&second, at_first);
     let proper = Digest::of(&[b"proper"]);
     for number in [1, 2] {
-        first.ends.record_end(&run(number), guilty(), true);
+        first.ends.record_end(&run(number), poison(), true);
     }
     first.ends.record_end(&run(1), proper, false);
-    assert_eq!(refuses(&second).await, 2);
-    first.ends.abandon(&run(3), guilty(), Duration::from_secs(2));
+    assert_eq!(wait_until_refused_by(&second).await, 2);
+    first.ends.abandon(&run(3), poison(), Duration::from_secs(2));
     first.ends.record_end(&run(3), proper, true);
-    holds(&second, Standing::Refused(3)).await;
+    wait_for_standing(&second, Standing::Refused(3)).await;
     tokio::time::sleep(SETTLE_TIME).await;
     for host in [&first, &second] {
         assert_eq!(host.ends.standing(proper), Standing::Sound);
-        assert_eq!(host.ends.standing(guilty()), Standing::Refused(3));
+        assert_eq!(host.ends.standing(poison()), Standing::Refused(3));
     }
 }
--- a/mirror/tests/lifts.rs
+++ b/mirror/tests/lifts.rs
@@ -1,4 +1,4 @@
-//! Gateways tell each other of rate limits that were lifted.
+//! Exchange of lifted rate limits between gateways through the store.
 
 #![allow(clippy::unwrap_used, reason = "a test that fails may panic")]
 
@@ -14,7 +14,7 @@
     fleet::Run { id: "server-1".into(), born: Some(born) }
 }
 
-/// A record as the store tells it.
+/// Returns a record of a lifted limit.
 fn record(revision: u64, text: &str) -> mirror::Record {
     let value = Some(text.to_owned().into_bytes().into());
     mirror::Record {
@@ -24,7 +24,7 @@
     }
 }
 
-/// What is written after a while.
+/// Returns the value that has been written after 600 ms.
 async fn written(store: &Calls) -> Option<String> {
     tokio::time::sleep(Duration::from_millis(600)).await;
     let value = store.seen().write?.value?;
@@ -32,7 +32,7 @@
 }
 
 #[tokio::test]
-async fn whoever_hears_it_writes_it_once_under_a_lease() {
+async fn a_gateway_writes_a_lift_once_under_a_lease() {
     let (mirror, store) = (Arc::<Mirror>::default(), Arc::new(Calls::new(Plan::default())));
     tokio::spawn(lifts::run(mirror.clone(), store.clone()));
     mirror.record_lift(&run(7));
@@ -43,7 +43,7 @@
 }
 
 #[tokio::test]
-async fn what_another_one_wrote_meanwhile_or_is_out_of_date_is_not_written() {
+async fn a_lift_that_is_outdated_or_written_by_another_gateway_is_not_written() {
     let (mirror, store) = (Arc::<Mirror>::default(), Arc::new(Calls::new(Plan::default())));
     mirror.record_lift(&run(7));
     mirror.apply(vec![record(5, r#"{"born":7}"#)], Source::Store);
@@ -54,7 +54,7 @@
 }
 
 #[tokio::test]
-async fn a_write_that_fails_is_tried_again() {
+async fn a_failed_write_is_retried() {
     let plan = Plan { lost_grants: 1, ..Plan::default() };
     let (mirror, store) = (Arc::<Mirror>::default(), Arc::new(Calls::new(plan)));
     tokio::spawn(lifts::run(mirror.clone(), store.clone()));
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn each_record_is_news_once_and_its_going_is_none() {
+fn each_record_is_returned_once_and_its_removal_never() {
     let mirror = Mirror::default();
     assert_eq!(mirror.lifts.take_updates(&mirror), []);
     mirror.apply(vec![record(5, r#"{"born":7}"#)], Source::Store);
--- a/mirror/tests/rest.rs
+++ b/mirror/tests/rest.rs
@@ -1,5 +1,6 @@
-//! A store that refuses a call and says when to come back is not asked before.
-//! All hosts come back to it after an outage, so each comes a little later.
+//! A store that rejects a call with a rest gets no call before the rest is over.
+//!
+//! After an outage all hosts return to the store, so each adds a random part to its rest.
 
 #![allow(clippy::unwrap_used, reason = "a test that fails may panic")]
 
@@ -15,75 +16,75 @@
 const SUBJECT: watch::Subject =
     watch::Subject { prefix: "news/", bound: Duration::from_millis(1_000), entries: false };
 
-/// Time that is played, of a clock that runs ahead while nothing happens.
-const PLAYED: Duration = Duration::from_secs(30);
+/// Simulated time. The paused clock advances while all tasks are idle.
+const SIMULATED: Duration = Duration::from_secs(30);
 
-/// A store that refuses all reads and asks for that much time.
-struct Refusing {
-    asks: Duration,
+/// A store that rejects all calls and asks for a rest.
+struct RejectingStore {
+    rest: Duration,
     calls: Mutex<Vec<Instant>>,
 }
 
-impl Refusing {
-    fn refuse<T>(&self) -> Result<T, Error> {
+impl RejectingStore {
+    fn reject<T>(&self) -> Result<T, Error> {
         self.calls.lock().unwrap().push(Instant::now());
-        Err(Error::Refused { status: 503, rest: self.asks })
+        Err(Error::Refused { status: 503, rest: self.rest })
     }
 }
 
-impl Store for Refusing {
+impl Store for RejectingStore {
     async fn list(&self, _: &str) -> Result<Listing, Error> {
-        self.refuse()
+        self.reject()
     }
 
     async fn watch(&self, _: &str, _: Revision, _: Wait) -> Result<Changes, Error> {
-        self.refuse()
+        self.reject()
     }
 
     async fn write(&self, _: &Write) -> Result<Outcome, Error> {
-        self.refuse()
+        self.reject()
     }
 
     async fn grant(&self, _: Duration) -> Result<Lease, Error> {
-        self.refuse()
+        self.reject()
     }
 
     async fn keep(&self, _: Lease) -> Result<bool, Error> {
-        self.refuse()
+        self.reject()
     }
 
     async fn end(&self, _: Lease) -> Result<(), Error> {
-        self.refuse()
+        self.reject()
     }
 }
 
-/// Times between the calls of a watch.
-async fn gaps(asks: Duration) -> Vec<Duration> {
-    let store = Arc::new(Refusing { asks, calls: Mutex::default() });
-    let watching =
+/// Returns the intervals between the calls of a watch.
+async fn gaps(rest: Duration) -> Vec<Duration> {
+    let store = Arc::new(RejectingStore { rest, calls: Mutex::default() });
+    let watch_task =
         tokio::spawn(watch::run(Arc::<Mirror>::default(), store.clone(), SUBJECT, |_| true));
-    tokio::time::sleep(PLAYED).await;
-    watching.abort();
+    tokio::time::sleep(SIMULATED).await;
+    watch_task.abort();
     let calls = store.calls.lock().unwrap();
     calls.windows(2).map(|pair| pair[1] - pair[0]).collect()
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_store_that_asks_for_rest_gets_it() {
-    let asks = Duration::from_millis(700);
-    let gaps = gaps(asks).await;
+async fn a_watch_waits_for_the_rest_that_the_store_asks_for() {
+    let rest = Duration::from_millis(700);
+    let gaps = gaps(rest).await;
     assert!(gaps.len() > 10);
     for gap in gaps {
-        assert!(gap >= asks, "asked again after {gap:?}");
+        assert!(gap >= rest, "called again after {gap:?}");
     }
 }
 
-/// Whoever heeded any time would not hear of a change within its bound.
+/// A watch that waited for any rest would miss the bound for changes.
 #[tokio::test(start_paused = true)]
-async fn no_longer_than_the_bound_for_changes() {
+async fn a_rest_is_limited_to_the_bound_for_changes() {
     let gaps = gaps(Duration::from_secs(3_600)).await;
     assert!(gaps.len() > 10);
     for gap in gaps {
-        assert!(gap >= SUBJECT.bound, "asked again after {gap:?}");
+        assert!(gap >= SUBJECT.bound, "called again after {gap:?}");
     }
 }
