--- a/settings/src/error.rs
+++ b/settings/src/error.rs
@@ -1,33 +1,33 @@
-//! Faults of a settings file.
+//! Errors in a settings file.
 
 use std::path::PathBuf;
 
-/// A key that must be in the section and is not.
+/// A required key that is missing in a section.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("missing key `{0}`")]
 pub struct Missing(pub &'static str);
 
-/// Why a settings file was refused.
+/// Error for which a settings file is rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The file could not be read.
     #[error("{}: {source}", file.display())]
     Read {
-        /// The file.
+        /// Path of the file.
         file: PathBuf,
-        /// What the system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// A key is unknown, missing, badly formed or out of range.
+    /// A key is unknown, missing, malformed or out of range.
     #[error("{}:{line}: key `{key}`: {reason}", file.display())]
     Key {
-        /// The file.
+        /// Path of the file.
         file: PathBuf,
         /// Line in the file, from 1.
         line: usize,
-        /// The key, or the section where a key is missing.
+        /// Name of the key, or of the section if a whole section is missing.
         key: String,
-        /// What is wrong with it.
+        /// Description of the error.
         reason: String,
     },
 }
--- a/settings/src/file.rs
+++ b/settings/src/file.rs
@@ -1,4 +1,4 @@
-//! The files of the daemon and of the tool.
+//! Settings files of the daemon and the tool.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
@@ -10,13 +10,13 @@
 
 use crate::{error, reference};
 
-/// What a daemon process does.
+/// Role of a daemon process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Role {
-    /// Takes callers' requests behind the platform's balancer.
+    /// Accepts callers' requests from the platform's balancer.
     Entry,
-    /// Stands before one backend server on its host.
+    /// Runs beside one backend server on its host and forwards requests to it.
     Agent,
 }
 
@@ -52,17 +52,17 @@
     }
 }
 
-/// Level of the log.
+/// Lowest level of log lines that are written.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Level {
-    /// Faults only.
+    /// Errors only.
     Error,
-    /// Faults and what may lead to one.
+    /// Also conditions that may lead to errors.
     Warn,
-    /// A line for each decision as well.
+    /// Also a line for each decision.
     Info,
-    /// Everything.
+    /// All lines.
     Debug,
 }
 
@@ -135,27 +135,27 @@
     }
 }
 
-/// The whole file of a daemon process.
+/// Settings file of a daemon process.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Daemon {
-    /// Who the process is.
+    /// Identity of the process.
     pub process: Process,
-    /// The platform.
+    /// Access to the platform.
     pub platform: Platform,
     /// Operators and their public keys, 64 hexadecimal digits each.
     pub operators: BTreeMap<Arc<str>, String>,
     /// Homes of idempotency keys.
     #[serde(default = "default_homes")]
     pub homes: Homes,
-    /// For the role `entry`.
+    /// Settings of the role `entry`.
     pub entry: Option<Entry>,
-    /// For the role `agent`.
+    /// Settings of the role `agent`.
     pub agent: Option<Agent>,
 }
 
 fn default_homes() -> Homes {
-    // Every key of this section has a default, so reading nothing cannot fail.
+    // All keys of this section have defaults, so the conversion cannot fail.
     Homes::try_from(RawHomes::default()).expect("the section has defaults for all keys")
 }
 
@@ -179,81 +179,81 @@
     }
 }
 
-/// All sections of the daemon's file, for the reference.
+/// Reference of all sections of the daemon's file.
 pub const DAEMON_SECTIONS: [reference::Section; 5] =
     [Process::REFERENCE, Platform::REFERENCE, Entry::REFERENCE, Agent::REFERENCE, Homes::REFERENCE];
 
 impl Daemon {
-    /// Reads and checks a daemon's file.
+    /// Reads and checks a daemon's settings file.
     ///
     /// # Errors
     ///
-    /// One [`error::Error`] for the first fault.
+    /// Returns the first error in the file.
     pub fn read(file: &Path) -> Result<Daemon, error::Error> {
-        let text = load(file)?;
+        let text = read_text(file)?;
         let daemon: Daemon = parse(file, &text)?;
         daemon.check(file, &text)?;
         Ok(daemon)
     }
 
     fn check(&self, file: &Path, text: &str) -> Result<(), error::Error> {
-        let fault = |key: &str, reason: &str| Err(fault(file, text, key, reason));
+        let error = |key: &str, reason: &str| Err(key_error(file, text, key, reason));
         match self.process.role {
             Role::Entry if self.entry.is_none() => {
-                return fault("role", "an entry needs the section [entry]");
+                return error("role", "an entry needs the section [entry]");
             }
             Role::Agent if self.agent.is_none() => {
-                return fault("role", "an agent needs the section [agent]");
+                return error("role", "an agent needs the section [agent]");
             }
             _ => {}
         }
-        if self.process.key.len() < MIN_KEY {
-            return fault("key", "the deployment's key needs at least 16 characters");
+        if self.process.key.len() < MIN_KEY_LENGTH {
+            return error("key", "the deployment's key needs at least 16 characters");
         }
         if self.process.workers == 0 {
-            return fault("workers", "must be above 0");
+            return error("workers", "must be above 0");
         }
         if self.process.exchange_ms == 0 {
-            return fault("exchange_ms", "must be above 0");
+            return error("exchange_ms", "must be above 0");
         }
-        if !(1..=LONGEST_WATCH_MS).contains(&self.platform.watch_ms) {
-            return fault("watch_ms", "must be above 0, and 30,000 at most");
+        if !(1..=MAX_WATCH_MS).contains(&self.platform.watch_ms) {
+            return error("watch_ms", "must be from 1 to 30,000");
         }
         if self.homes.slots == 0 {
-            return fault("slots", "must be above 0");
+            return error("slots", "must be above 0");
         }
         if self.homes.window_ms <= self.homes.lease_ms + 2 * self.homes.skew_ms {
-            return fault("window_ms", "must be above lease_ms and twice skew_ms");
+            return error("window_ms", "must be greater than lease_ms plus twice skew_ms");
         }
         Ok(())
     }
 
-    /// Longest time that a planned stop waits.
+    /// Returns the maximum time that a planned stop waits for requests in flight.
     pub fn drain(&self) -> Duration {
         Duration::from_millis(self.process.drain_ms)
     }
 }
 
-/// Longest time that the platform lets a watch wait, milliseconds.
-const LONGEST_WATCH_MS: u64 = 30_000;
+/// Maximum time that the platform lets a watch wait, in milliseconds.
+const MAX_WATCH_MS: u64 = 30_000;
 
-/// Least length of the deployment's key, characters.
-const MIN_KEY: usize = 16;
+/// Minimum length of the deployment's key, in characters.
+const MIN_KEY_LENGTH: usize = 16;
 
 impl Tool {
-    /// Reads the tool's file.
+    /// Reads the tool's settings file.
     ///
     /// # Errors
     ///
-    /// One [`error::Error`] for the first fault.
+    /// Returns the first error in the file.
     pub fn read(file: &Path) -> Result<Tool, error::Error> {
-        let text = load(file)?;
+        let text = read_text(file)?;
         parse(file, &text)
     }
 }
 
-/// The fault of a key whose value is out of range.
-pub(crate) fn fault(file: &Path, text: &str, key: &str, reason: &str) -> error::Error {
+/// Returns the error for a key whose value is out of range.
+pub(crate) fn key_error(file: &Path, text: &str, key: &str, reason: &str) -> error::Error {
     error::Error::Key {
         file: file.to_owned(),
         line: line_of_key(text, key),
@@ -262,7 +262,7 @@
     }
 }
 
-pub(crate) fn load(file: &Path) -> Result<String, error::Error> {
+pub(crate) fn read_text(file: &Path) -> Result<String, error::Error> {
     std::fs::read_to_string(file)
         .map_err(|source| error::Error::Read { file: file.to_owned(), source })
 }
@@ -275,13 +275,13 @@
         let start = error.span().map_or(0, |span| span.start);
         let line = 1 + text.as_bytes()[..start].iter().filter(|byte| **byte == b'\n').count();
         let reason = error.message().to_owned();
-        let key = quoted(&reason).unwrap_or_else(|| key_on_line(text, line));
+        let key = quoted_name(&reason).unwrap_or_else(|| key_on_line(text, line));
         error::Error::Key { file: file.to_owned(), line, key, reason }
     })
 }
 
-/// The first name in backquotes, which is how the parser names a key.
-fn quoted(reason: &str) -> Option<String> {
+/// Returns the first name in backquotes if the parser's message is about a key.
+fn quoted_name(reason: &str) -> Option<String> {
     let names_key = reason.starts_with("unknown field") || reason.starts_with("missing");
     names_key.then(|| reason.split('`').nth(1).map(str::to_owned)).flatten()
 }
@@ -292,7 +292,7 @@
 }
 
 fn line_of_key(text: &str, key: &str) -> usize {
-    let found =
+    let position =
         text.lines().position(|line| line.split('=').next().is_some_and(|name| name.trim() == key));
-    found.map_or(1, |index| index + 1)
+    position.map_or(1, |index| index + 1)
 }
--- a/settings/src/gateway.rs
+++ b/settings/src/gateway.rs
@@ -1,4 +1,4 @@
-//! The settings of a gateway.
+//! Settings files of the gateway and the sidecar.
 
 use std::net::{IpAddr, SocketAddr};
 use std::path::Path;
@@ -63,15 +63,15 @@
     }
 }
 
-/// The whole file of a gateway.
+/// Settings file of a gateway.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Gateway {
     /// The host.
     pub host: Host,
-    /// Addresses to listen on.
+    /// Addresses that the gateway listens on.
     pub listen: Listen,
-    /// How to serve.
+    /// Limits and bounds of serving.
     pub serving: Serving,
 }
 
@@ -93,26 +93,26 @@
     }
 }
 
-/// The whole file of a sidecar.
+/// Settings file of a sidecar.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Sidecar {
     /// The host.
     pub host: Host,
-    /// How to reach the others.
+    /// Connections with other processes.
     pub peering: Peering,
-    /// The engine.
+    /// The engine beside the sidecar.
     pub engine: Engine,
 }
 
 impl Gateway {
-    /// Reads and checks a gateway's file.
+    /// Reads and checks a gateway's settings file.
     ///
     /// # Errors
     ///
-    /// One [`error::Error`] for the first fault.
+    /// Returns the first error in the file.
     pub fn read(path: &Path) -> Result<Gateway, error::Error> {
-        let text = file::load(path)?;
+        let text = file::read_text(path)?;
         let gateway: Gateway = file::parse(path, &text)?;
         gateway.check(path, &text)?;
         Ok(gateway)
@@ -123,29 +123,29 @@
             ("config_bound_ms", self.serving.config_bound_ms),
             ("drain_bound_ms", self.serving.drain_bound_ms),
         ];
-        // A number that is none is in no range either.
+        // NaN is in no range, so it is rejected too.
         match bounds.iter().find(|(_, ms)| !BOUND_MS.contains(ms)) {
-            Some((key, _)) => Err(file::fault(path, text, key, "must be from 100 to 600,000")),
+            Some((key, _)) => Err(file::key_error(path, text, key, "must be from 100 to 600,000")),
             None => Ok(()),
         }
     }
 }
 
-/// Bounds for changes that a gateway can keep, milliseconds: calls to the store
-/// take parts of them, and the store's take milliseconds.
+/// Range of bounds for changes that a gateway can meet, in milliseconds. The time limits of calls
+/// to the store are fractions of the bound, and such a call takes milliseconds.
 const BOUND_MS: std::ops::RangeInclusive<f64> = 100.0..=600_000.0;
 
 impl Sidecar {
-    /// Reads and checks a sidecar's file.
+    /// Reads and checks a sidecar's settings file.
     ///
     /// # Errors
     ///
-    /// One [`error::Error`] for the first fault.
+    /// Returns the first error in the file.
     pub fn read(path: &Path) -> Result<Sidecar, error::Error> {
-        file::parse(path, &file::load(path)?)
+        file::parse(path, &file::read_text(path)?)
     }
 }
 
-/// All sections of both files, for the reference.
+/// Reference of all sections of both files.
 pub const SECTIONS: [crate::reference::Section; 5] =
     [Host::REFERENCE, Listen::REFERENCE, Serving::REFERENCE, Engine::REFERENCE, Peering::REFERENCE];
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -1,10 +1,10 @@
-//! Settings of the daemon and the tool, declared once.
+//! Settings of the daemon, the tool, the gateway and the sidecar.
 //!
-//! Each section is declared with [`section!`]: key, type, default and
-//! documentation stand in one place, and the structure, its reading from
-//! TOML, and the reference in `docs/OPERATIONS.md` all come from it. A file is
-//! read and checked by [`file::Daemon::read`] or [`file::Tool::read`]; every
-//! fault is one [`error::Error`] that names file, line and key.
+//! The macro `section!` declares each section: the key, type, default and documentation of each
+//! setting. The structure, its parsing from TOML and the reference in `docs/OPERATIONS.md` are
+//! generated from this declaration. [`file::Daemon::read`], [`file::Tool::read`],
+//! [`gateway::Gateway::read`] and [`gateway::Sidecar::read`] read and check a file. Each
+//! [`error::Error`] names the file, the line and the key.
 
 #[macro_use]
 mod section;
--- a/settings/src/reference.rs
+++ b/settings/src/reference.rs
@@ -1,28 +1,28 @@
-//! The reference of all settings, as `loftcoved settings` prints it.
+//! Reference of all settings, as `loftcoved settings` prints it.
 
 use std::fmt;
 
-/// One key of a section.
+/// Reference of a key.
 #[derive(Debug)]
 pub struct Key {
-    /// Name in the file.
+    /// Name of the key in the file.
     pub name: &'static str,
-    /// Rust type.
+    /// Rust type of the value.
     pub kind: &'static str,
-    /// Default, or `None` where the file must have the key.
+    /// Default value as source text, or `None` if the key is required.
     pub default: Option<&'static str>,
-    /// What it does.
+    /// Documentation of the key.
     pub doc: &'static str,
 }
 
-/// One section of a file.
+/// Reference of a section.
 #[derive(Debug)]
 pub struct Section {
-    /// Path of the section in the file; empty for the top.
+    /// Name of the section in the file; empty for the top level.
     pub path: &'static str,
-    /// What the section is for.
+    /// Documentation of the section.
     pub about: &'static str,
-    /// Its keys, in the order of declaration.
+    /// Keys of the section, in the order of declaration.
     pub keys: &'static [Key],
 }
 
--- a/settings/src/section.rs
+++ b/settings/src/section.rs
@@ -1,9 +1,9 @@
-//! The macro that declares a section of settings.
+//! Macro that declares a section of settings.
 
-/// Declares one section: a structure, its reading from TOML and its reference.
+/// Declares a section: its structure, its parsing from TOML and its reference.
 ///
-/// A key with `= value` is optional and has that default; a key without must
-/// be in the file. Unknown keys are refused.
+/// A key with `= value` is optional and has that default. A key without one is required. Unknown
+/// keys are rejected.
 macro_rules! section {
     (
         $(#[doc = $about:literal])+
--- a/settings/tests/settings.rs
+++ b/settings/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Faults of a settings file name file, line and key, and the reference is whole.
+//! Errors in settings files name the file, line and key, and the reference is complete.
 
 #![allow(clippy::unwrap_used, reason = "a test that fails may panic")]
 
@@ -10,34 +10,34 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../deploy").join(name)
 }
 
-/// Reads the shipped file with one text replaced by another; returns the fault.
-fn fault(from: &str, to: &str) -> String {
+/// Replaces `from` with `to` in the shipped entry file. Returns the error of reading the result.
+fn error(from: &str, to: &str) -> String {
     let text = std::fs::read_to_string(shipped("cartamar/entry.toml")).unwrap();
     assert!(text.contains(from), "{from}");
     let path = std::env::temp_dir().join(format!("loftcove-settings-{}.toml", std::process::id()));
     std::fs::write(&path, text.replacen(from, to, 1)).unwrap();
-    let fault = file::Daemon::read(&path).unwrap_err().to_string();
+    let error = file::Daemon::read(&path).unwrap_err().to_string();
     std::fs::remove_file(&path).unwrap();
-    fault.replace(&*path.to_string_lossy(), "FILE")
+    error.replace(&*path.to_string_lossy(), "FILE")
 }
 
 #[test]
-fn one_clear_fault_for_each_mistake() {
-    let faults = [
-        fault("zone = ", "zoen = "),
-        fault("role = \"entry\"\n", ""),
-        fault("role = \"entry\"", "role = \"router\""),
-        fault("127.0.0.1:7400", "localhost:7400"),
-        fault("\n[entry]", "\n[agent]"),
-        fault("replace-the-key-of-the-deployment", "short"),
-        fault("[platform]\n", "exchange_ms = 0\n[platform]\n"),
-        fault("[platform]\n", "[platform]\nwatch_ms = 55000\n"),
+fn each_mistake_has_one_clear_error() {
+    let errors = [
+        error("zone = ", "zoen = "),
+        error("role = \"entry\"\n", ""),
+        error("role = \"entry\"", "role = \"router\""),
+        error("127.0.0.1:7400", "localhost:7400"),
+        error("\n[entry]", "\n[agent]"),
+        error("replace-the-key-of-the-deployment", "short"),
+        error("[platform]\n", "exchange_ms = 0\n[platform]\n"),
+        error("[platform]\n", "[platform]\nwatch_ms = 55000\n"),
     ];
-    insta::assert_snapshot!(faults.join("\n"));
+    insta::assert_snapshot!(errors.join("\n"));
 }
 
 #[test]
-fn a_gateway_checks_its_bounds() {
+fn rejects_gateway_bounds_out_of_range() {
     let path = std::env::temp_dir().join(format!("loftcove-gateway-{}.toml", std::process::id()));
     let read = |serving: &str| {
         let text = format!(
@@ -50,14 +50,14 @@
     };
     assert!(read("config_bound_ms = 2000").is_ok());
     for wrong in ["config_bound_ms = 0", "drain_bound_ms = -1", "drain_bound_ms = nan"] {
-        let fault = read(wrong).unwrap_err();
-        assert!(fault.contains(":11: key `") && fault.contains("100 to 600,000"), "{fault}");
+        let error = read(wrong).unwrap_err();
+        assert!(error.contains(":11: key `") && error.contains("100 to 600,000"), "{error}");
     }
     std::fs::remove_file(&path).unwrap();
 }
 
 #[test]
-fn shipped_settings_are_right() {
+fn accepts_the_shipped_settings() {
     for deployment in ["mensageira-vale", "cartamar"] {
         for role in ["entry", "agent"] {
             file::Daemon::read(&shipped(&format!("{deployment}/{role}.toml"))).unwrap();
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn the_operators_page_holds_the_reference() {
+fn the_operations_page_contains_the_reference() {
     let page = Path::new(env!("CARGO_MANIFEST_DIR")).join("../docs/OPERATIONS.md");
     let page = std::fs::read_to_string(page).unwrap();
     for section in file::DAEMON_SECTIONS.iter().chain(&gateway::SECTIONS) {
