--- a/bundle/src/content.rs
+++ b/bundle/src/content.rs
@@ -205,7 +205,7 @@
         if self.classes.iter().any(|known| known.name == *class) {
             return Ok(());
         }
-        Err(error::Error::Dangling { kind, name: name.clone(), target: class.clone() })
+        Err(error::Error::Undeclared { kind, name: name.clone(), target: class.clone() })
     }
 
     /// The model that a caller's name means: a model, an adapter, or
@@ -251,7 +251,7 @@
     let mut seen = BTreeSet::new();
     for name in names {
         if !seen.insert(name) {
-            return Err(error::Error::Twice { kind, name: name.clone() });
+            return Err(error::Error::Duplicate { kind, name: name.clone() });
         }
     }
     Ok(())
--- a/bundle/src/error.rs
+++ b/bundle/src/error.rs
@@ -23,7 +23,7 @@
     },
     /// Two entries of one kind share a name.
     #[error("{kind} `{name}` is declared twice")]
-    Twice {
+    Duplicate {
         /// Kind of the entry.
         kind: &'static str,
         /// The shared name.
@@ -31,7 +31,7 @@
     },
     /// An entry names another that the bundle does not declare.
     #[error("{kind} `{name}` names `{target}`, which is not declared")]
-    Dangling {
+    Undeclared {
         /// Kind of the entry that names.
         kind: &'static str,
         /// Name of that entry.
