--- a/bundle/src/content.rs
+++ b/bundle/src/content.rs
@@ -1,4 +1,4 @@
-//! What a bundle states, read from its TOML text and checked.
+//! Content of a bundle, parsed from its TOML text and checked.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -8,47 +8,47 @@
 
 use crate::error;
 
-/// Largest text of a bundle, bytes: the platform's values hold a megabyte,
-/// and the signatures and the JSON form need the rest.
+/// Maximum size of a bundle's text, in bytes. A value of the platform holds a megabyte, and the
+/// signatures and the JSON form need the rest.
 pub const MAX_SIZE: usize = 900 * 1024;
 
-/// Whole content of a bundle.
+/// Content of a bundle.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Content {
     /// Deployment that the bundle is for.
     pub deployment: Arc<str>,
-    /// How far expert placement may move.
+    /// Limits and weights of expert placement.
     #[serde(default)]
     pub placement: Placement,
     /// Models, each served by groups of ranks.
     #[serde(default, rename = "model")]
     pub models: Vec<Model>,
-    /// Plain services.
+    /// Plain services, which run beside the model engines.
     #[serde(default, rename = "service")]
     pub services: Vec<Service>,
     /// Request classes.
     #[serde(default, rename = "class")]
     pub classes: Vec<Class>,
-    /// Teams, the callers' side.
+    /// Teams that send requests.
     #[serde(default, rename = "team")]
     pub teams: Vec<Team>,
-    /// Backend server hosts that are to take no new work.
+    /// Hosts whose backend servers must get no new requests.
     #[serde(default)]
     pub leaving: Vec<Arc<str>>,
 }
 
-/// How far expert placement may move, and what the users weigh.
+/// Limits of expert placement and the weights of its costs.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Placement {
-    /// Time between two decisions, seconds.
+    /// Interval between two decisions, in seconds.
     pub interval_s: u32,
-    /// Expert loads that one decision may order for a group.
+    /// Maximum number of expert loads that one decision may order for a group.
     pub moves: u32,
-    /// Copies of one expert at the most.
+    /// Maximum number of copies of one expert.
     pub replicas: u32,
-    /// Expert slots on each rank and layer beyond an even share.
+    /// Number of expert slots on each rank and layer beyond an even share.
     pub spare_slots: u32,
     /// Weight of step-time skew.
     pub skew_weight: f64,
@@ -69,22 +69,22 @@
     }
 }
 
-/// A model, its version and adapters, and the shape of its groups.
+/// A model with its version, its adapters and the shape of its groups.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Model {
-    /// Name that callers give.
+    /// Name that callers give in requests.
     pub name: Arc<str>,
     /// Version of the weights.
     pub version: Arc<str>,
-    /// Adapters, which callers may name in place of the model.
+    /// Adapters, which callers may name instead of the model.
     #[serde(default)]
     pub adapters: Vec<Arc<str>>,
-    /// Rank groups that serve it.
+    /// Rank groups that serve the model.
     pub groups: Vec<Arc<str>>,
-    /// Layers with experts.
+    /// Number of layers with experts.
     pub layers: u32,
-    /// Experts of each layer.
+    /// Number of experts of each layer.
     pub experts: u32,
     /// Class of a request that names none.
     pub class: Arc<str>,
@@ -94,7 +94,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// Name in the path and in the host list.
+    /// Name of the service in request paths and in the host list.
     pub name: Arc<str>,
     /// Class of a request that names none.
     pub class: Arc<str>,
@@ -104,28 +104,28 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// Name that callers give.
+    /// Name that callers give in requests.
     pub name: Arc<str>,
-    /// Rank among the classes; 0 goes first.
+    /// Precedence among the classes; 0 is dispatched first.
     pub precedence: u32,
     /// Whether a request may run more than once.
     pub repeatable: bool,
-    /// Deadline of a request that names none, milliseconds.
+    /// Deadline of a request that names none, in milliseconds.
     pub deadline_ms: u32,
 }
 
-/// A team, with its share and its limit.
+/// A team with its share and its limit.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Team {
     /// Name of the team.
     pub name: Arc<str>,
-    /// SHA-256 of the team's bearer token, hexadecimal.
+    /// SHA-256 digest of the team's bearer token, in hexadecimal.
     pub token_sha256: String,
-    /// Share of the capacity relative to the other teams.
+    /// Weight of the team's share of the capacity, relative to the other teams.
     #[serde(default = "default_weight")]
     pub weight: u32,
-    /// Requests that one entry host lets the team have in flight and waiting.
+    /// Maximum number of the team's requests that may be in flight or waiting at one entry host.
     #[serde(default = "default_limit")]
     pub limit: u32,
 }
@@ -138,17 +138,17 @@
     256
 }
 
-/// Greatest number of layers, experts, replicas and the like.
+/// Maximum number of layers, experts, replicas or spare slots.
 const MAX_COUNT: f64 = 4096.0;
-/// Longest deadline, milliseconds.
+/// Maximum deadline, in milliseconds.
 const MAX_DEADLINE_MS: f64 = 3_600_000.0;
 
 impl Content {
-    /// Reads and checks a bundle's text.
+    /// Parses and checks a bundle's text.
     ///
     /// # Errors
     ///
-    /// The first rule that the text breaks, with its line where one is known.
+    /// Returns the first rule that the text violates, with the line of a syntax error.
     pub fn parse(text: &str) -> Result<Content, error::Error> {
         if text.len() > MAX_SIZE {
             return Err(error::Error::Size { size: text.len(), limit: MAX_SIZE });
@@ -162,8 +162,8 @@
         Ok(content)
     }
 
-    /// Holds the rules that the syntax cannot: unique names, declared
-    /// targets, numbers in range.
+    /// Checks the rules that the syntax does not express: names are unique, references are
+    /// declared, numbers are in range.
     fn check(&self) -> Result<(), error::Error> {
         unique("class", self.classes.iter().map(|class| &class.name))?;
         unique("team", self.teams.iter().map(|team| &team.name))?;
@@ -208,8 +208,8 @@
         Err(error::Error::Undeclared { kind, name: name.clone(), target: class.clone() })
     }
 
-    /// The model that a caller's name means: a model, an adapter, or
-    /// `model@version` for the version in force.
+    /// Returns the model that a caller's name refers to. The name is that of a model or an adapter,
+    /// optionally with `@version`, which must be the version in force.
     pub fn model(&self, name: &str) -> Option<&Model> {
         let (base, version) = name.split_once('@').map_or((name, None), |(b, v)| (b, Some(v)));
         self.models
@@ -218,17 +218,17 @@
             .filter(|model| version.is_none_or(|version| *model.version == *version))
     }
 
-    /// The service of that name.
+    /// Returns the service with the given name.
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services.iter().find(|service| *service.name == *name)
     }
 
-    /// The class of that name.
+    /// Returns the class with the given name.
     pub fn class(&self, name: &str) -> Option<&Class> {
         self.classes.iter().find(|class| *class.name == *name)
     }
 
-    /// The model whose group this is.
+    /// Returns the model that the group serves.
     pub fn model_of_group(&self, group: &str) -> Option<&Model> {
         self.models.iter().find(|model| model.groups.iter().any(|known| **known == *group))
     }
@@ -273,7 +273,7 @@
 }
 
 impl fmt::Display for Content {
-    /// One line an entry, in the order of the text; `bundle diff` compares these.
+    /// Writes a line for each entry, in the order of the text. `bundle diff` compares these lines.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(f, "deployment {}", self.deployment)?;
         let p = &self.placement;
--- a/bundle/src/envelope.rs
+++ b/bundle/src/envelope.rs
@@ -1,52 +1,52 @@
-//! The signed whole of a bundle: a proposal, and what is in force.
+//! Signed forms of a bundle: the proposal, and the envelope in force.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{content, error, sign};
 
-/// A bundle put forward, as it stands in the platform until it is rolled.
+/// A proposed bundle, as the platform stores it until its roll.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Proposal {
-    /// The TOML text.
+    /// TOML text.
     pub text: String,
-    /// The proposer's signature.
+    /// Signature of the proposer.
     pub proposer: sign::Mark,
-    /// The approver's signature, once there is one.
+    /// Signature of the approver, if the bundle is approved.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub approver: Option<sign::Mark>,
 }
 
-/// A bundle in force. Whoever holds one can verify it alone.
+/// A bundle in force. It can be verified without other data than the operators' public keys.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Envelope {
-    /// The TOML text.
+    /// TOML text.
     pub text: String,
-    /// The proposer's signature.
+    /// Signature of the proposer.
     pub proposer: sign::Mark,
-    /// The signature of an operator other than the proposer.
+    /// Signature of an operator other than the proposer.
     pub approver: sign::Mark,
-    /// The roll that put it in force.
+    /// Roll that put the bundle in force.
     pub roll: sign::Roll,
 }
 
 impl Envelope {
-    /// Reads the JSON form.
+    /// Parses the JSON form.
     ///
     /// # Errors
     ///
-    /// [`error::Error::Envelope`] where it is not one.
+    /// Returns [`error::Error::Envelope`] if the JSON is not an envelope.
     pub fn parse(json: &[u8]) -> Result<Envelope, error::Error> {
         serde_json::from_slice(json)
             .map_err(|error| error::Error::Envelope { reason: error.to_string() })
     }
 
-    /// Verifies the three signatures and reads the content.
+    /// Verifies the three signatures and parses the content.
     ///
     /// # Errors
     ///
-    /// The first of the signatures or rules of content that does not hold.
+    /// Returns the first signature that does not verify or rule that the content violates.
     pub fn open(&self, keyring: &sign::Keyring) -> Result<content::Content, error::Error> {
         let digest = sign::Digest::of(&self.text);
         keyring.verify(sign::Step::Proposal, digest, &self.proposer)?;
@@ -58,7 +58,7 @@
         content::Content::parse(&self.text)
     }
 
-    /// Digest of the text.
+    /// Returns the digest of the text.
     pub fn digest(&self) -> sign::Digest {
         sign::Digest::of(&self.text)
     }
--- a/bundle/src/error.rs
+++ b/bundle/src/error.rs
@@ -1,45 +1,45 @@
-//! Every way in which a bundle can be refused.
+//! Errors for which a bundle is rejected.
 
 use std::sync::Arc;
 
-/// Why a bundle's text or its signatures were refused.
+/// Error in a bundle's text or its signatures.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum Error {
-    /// The text is larger than the platform's values may be.
+    /// The text is too large for a value of the platform.
     #[error("bundle of {size} bytes is over the limit of {limit}")]
     Size {
-        /// Size of the text, bytes.
+        /// Size of the text, in bytes.
         size: usize,
-        /// Largest size, bytes.
+        /// Maximum size, in bytes.
         limit: usize,
     },
-    /// The text is not the TOML that a bundle must be.
+    /// The text is not valid TOML or does not have the structure of a bundle.
     #[error("line {line}: {reason}")]
     Syntax {
         /// Line of the text, from 1.
         line: usize,
-        /// What the parser found.
+        /// Message of the parser.
         reason: String,
     },
-    /// Two entries of one kind share a name.
+    /// Two entries of one kind have the same name.
     #[error("{kind} `{name}` is declared twice")]
     Duplicate {
         /// Kind of the entry.
         kind: &'static str,
-        /// The shared name.
+        /// Name of both entries.
         name: Arc<str>,
     },
-    /// An entry names another that the bundle does not declare.
-    #[error("{kind} `{name}` names `{target}`, which is not declared")]
+    /// An entry refers to a class that the bundle does not declare.
+    #[error("{kind} `{name}` refers to `{target}`, which is not declared")]
     Undeclared {
-        /// Kind of the entry that names.
+        /// Kind of the referring entry.
         kind: &'static str,
-        /// Name of that entry.
+        /// Name of the referring entry.
         name: Arc<str>,
-        /// The missing name.
+        /// Name that is not declared.
         target: Arc<str>,
     },
-    /// A number is outside of its range.
+    /// A number is out of range.
     #[error("{kind} `{name}`: {key} = {value} is outside of {low} to {high}")]
     Range {
         /// Kind of the entry.
@@ -48,28 +48,28 @@
         name: Arc<str>,
         /// Key of the number.
         key: &'static str,
-        /// The number.
+        /// Value of the number.
         value: f64,
-        /// Least value.
+        /// Minimum value.
         low: f64,
-        /// Greatest value.
+        /// Maximum value.
         high: f64,
     },
-    /// A team's token hash is not the hexadecimal form of a SHA-256.
+    /// A team's token digest is not a SHA-256 digest in hexadecimal.
     #[error("team `{name}`: token_sha256 is not 64 hexadecimal digits")]
     Token {
         /// Name of the team.
         name: Arc<str>,
     },
-    /// A signature does not fit the key that the settings hold for its operator.
+    /// A signature does not verify with the operator's public key in the settings.
     #[error("the {step} signature of `{operator}` does not verify")]
     Signature {
         /// Step that was signed.
         step: crate::sign::Step,
-        /// Operator that is said to have signed.
+        /// Operator that the signature names.
         operator: Arc<str>,
     },
-    /// The settings hold no key for the operator.
+    /// The settings contain no public key for the operator.
     #[error("operator `{operator}` is not in the settings")]
     Operator {
         /// Name of the operator.
@@ -81,26 +81,26 @@
         /// Name of the operator.
         operator: Arc<str>,
     },
-    /// The text is not the one that was signed.
-    #[error("the text's digest is {found}, {signed} was signed")]
+    /// The text differs from the signed one.
+    #[error("the text's digest is {found}, but {signed} was signed")]
     Digest {
         /// Digest of the text.
         found: crate::sign::Digest,
-        /// Digest under the signature.
+        /// Digest that was signed.
         signed: crate::sign::Digest,
     },
-    /// A key or signature is not in its textual form.
+    /// A key, digest or signature is malformed.
     #[error("{what} is not {digits} hexadecimal digits")]
     Hex {
-        /// What was read.
+        /// Kind of the value.
         what: &'static str,
-        /// Digits that it must have.
+        /// Required number of digits.
         digits: usize,
     },
-    /// An envelope is not the JSON that it must be.
+    /// An envelope is not valid JSON or does not have the structure of an envelope.
     #[error("envelope: {reason}")]
     Envelope {
-        /// What the parser found.
+        /// Message of the parser.
         reason: String,
     },
 }
--- a/bundle/src/lib.rs
+++ b/bundle/src/lib.rs
@@ -1,12 +1,11 @@
-//! Versioned, signed bundles: what operators drive loftcove with.
+//! Versioned, signed bundles, with which operators configure loftcove.
 //!
-//! A bundle is a TOML text ([`content`]) that states models, teams, classes,
-//! services and how far placement may move. An operator proposes it, another
-//! one approves it, and a roll puts it in force under a generation that only
-//! rises ([`sign`]). The signed whole is an [`envelope::Envelope`], and it is
-//! all that a process needs to trust a bundle, whoever hands it over. The
-//! daemon and the tool both verify through [`envelope::Envelope::open`]; the
-//! decision crate reads [`content::Content`] only.
+//! A bundle is a TOML text ([`content`]) that declares models, teams, classes, services and the
+//! limits of expert placement. An operator proposes it and another one approves it. A *roll* then
+//! puts it in force under a generation, which only rises ([`sign`]). The text and its three
+//! signatures form an [`envelope::Envelope`]. A process needs only the envelope and the operators'
+//! public keys to trust a bundle, whichever peer sent it. The daemon and the tool both verify it
+//! with [`envelope::Envelope::open`]. The decision crate reads only [`content::Content`].
 
 pub mod content;
 pub mod envelope;
--- a/bundle/src/sign.rs
+++ b/bundle/src/sign.rs
@@ -1,4 +1,7 @@
-//! Digests, keys and the three signed steps of a bundle: proposal, approval, roll.
+//! Digests, keys and the three signed steps of a bundle: proposal, approval and roll.
+//!
+//! A *mark* is an operator's signature of one step. A *roll* puts a bundle in force under a
+//! generation.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -10,19 +13,19 @@
 
 use crate::error;
 
-/// Length of a digest, bytes.
+/// Length of a digest, in bytes.
 const DIGEST_LENGTH: usize = 32;
-/// Length of an ed25519 signature, bytes.
+/// Length of an ed25519 signature, in bytes.
 const SIGNATURE_LENGTH: usize = 64;
 
-/// A step of a bundle's life that an operator signs.
+/// A step of a bundle's lifecycle that an operator signs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
-    /// The bundle is put forward.
+    /// An operator proposes the bundle.
     Proposal,
-    /// Another operator agrees to it.
+    /// Another operator approves the bundle.
     Approval,
-    /// The bundle is put in force under a generation.
+    /// An operator puts the bundle in force under a generation.
     Roll,
 }
 
@@ -36,21 +39,21 @@
     }
 }
 
-/// SHA-256 of a bundle's text.
+/// SHA-256 digest of a bundle's text.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Digest([u8; DIGEST_LENGTH]);
 
 impl Digest {
-    /// Digest of a bundle's text.
+    /// Computes the digest of a bundle's text.
     pub fn of(text: &str) -> Digest {
         Digest(sha2::Sha256::digest(text.as_bytes()).into())
     }
 
-    /// Reads the 64 hexadecimal digits that `Display` writes.
+    /// Parses the 64 hexadecimal digits that `Display` writes.
     ///
     /// # Errors
     ///
-    /// [`error::Error::Hex`] where the text is anything else.
+    /// Returns [`error::Error::Hex`] if the text has another form.
     pub fn parse(text: &str) -> Result<Digest, error::Error> {
         read_hex("digest", text).map(Digest)
     }
@@ -88,69 +91,70 @@
     Ok(bytes)
 }
 
-/// One operator's signature of one step.
+/// An operator's signature of a step.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Mark {
-    /// Operator that signed.
+    /// Name of the operator.
     pub operator: Arc<str>,
-    /// The ed25519 signature, hexadecimal.
+    /// Ed25519 signature, in hexadecimal.
     pub signature: String,
 }
 
-/// What a roll states: this digest is in force from this generation on.
+/// A roll: the statement that a digest is in force from a generation on.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Roll {
-    /// Generation, one above the one before it.
+    /// Generation, one above the previous one.
     pub generation: u64,
-    /// Unique to this try: read back when the platform's answer was lost.
+    /// Unique value of this attempt. The operator's tool reads it back if the platform's answer was
+    /// lost.
     pub nonce: String,
-    /// Signature over generation, nonce and digest.
+    /// Signature of generation, nonce and digest.
     pub mark: Mark,
 }
 
-/// The bytes that a signature covers; each step has a domain of its own, so
-/// that no signature can stand for another step.
-fn covered(step: Step, digest: Digest, generation: u64, nonce: &str) -> Vec<u8> {
+/// Returns the bytes that a signature covers. They include the step, so that a signature of one
+/// step does not verify for another.
+fn signed_bytes(step: Step, digest: Digest, generation: u64, nonce: &str) -> Vec<u8> {
     format!("loftcove {step} {digest} {generation} {nonce}").into_bytes()
 }
 
-/// An operator's secret key and name.
+/// Name and secret key of an operator.
 pub struct Signer {
     name: Arc<str>,
     key: ed25519_dalek::SigningKey,
 }
 
 impl Signer {
-    /// Takes the 64 hexadecimal digits of the secret key.
+    /// Creates a signer from the 64 hexadecimal digits of the secret key.
     ///
     /// # Errors
     ///
-    /// [`error::Error::Hex`] where the text is anything else.
+    /// Returns [`error::Error::Hex`] if the text has another form.
     pub fn new(name: &str, secret: &str) -> Result<Signer, error::Error> {
         let bytes = read_hex("secret key", secret)?;
         Ok(Signer { name: name.into(), key: ed25519_dalek::SigningKey::from_bytes(&bytes) })
     }
 
-    /// Name of the operator.
+    /// Returns the name of the operator.
     pub fn name(&self) -> &Arc<str> {
         &self.name
     }
 
-    /// The public key, as the settings hold it.
+    /// Returns the public key in the form that the settings use.
     pub fn public(&self) -> String {
         hex::encode(self.key.verifying_key().to_bytes())
     }
 
-    /// Signs a proposal or an approval of the digest.
+    /// Signs a proposal or an approval of a digest.
     pub fn sign(&self, step: Step, digest: Digest) -> Mark {
-        self.mark(&covered(step, digest, 0, ""))
+        self.mark(&signed_bytes(step, digest, 0, ""))
     }
 
-    /// Signs the roll of the digest under the generation.
+    /// Signs the roll of a digest under a generation.
     pub fn roll(&self, digest: Digest, generation: u64, nonce: String) -> Roll {
-        let mark = self.mark(&covered(Step::Roll, digest, generation, &nonce));
+        let mark = self.mark(&signed_bytes(Step::Roll, digest, generation, &nonce));
         Roll { generation, nonce, mark }
     }
 
@@ -160,18 +164,18 @@
     }
 }
 
-/// The operators' public keys, from the settings of the process.
+/// Public keys of the operators, from the settings of the process.
 #[derive(Debug, Clone, Default)]
 pub struct Keyring {
     keys: BTreeMap<Arc<str>, ed25519_dalek::VerifyingKey>,
 }
 
 impl Keyring {
-    /// Reads name and public key (64 hexadecimal digits) of each operator.
+    /// Parses the public key (64 hexadecimal digits) of each operator.
     ///
     /// # Errors
     ///
-    /// [`error::Error::Hex`] for a key that is not one.
+    /// Returns [`error::Error::Hex`] for an invalid key.
     pub fn new(operators: &BTreeMap<Arc<str>, String>) -> Result<Keyring, error::Error> {
         let mut keys = BTreeMap::new();
         for (name, text) in operators {
@@ -183,22 +187,22 @@
         Ok(Keyring { keys })
     }
 
-    /// Verifies a proposal or an approval.
+    /// Verifies a proposal or an approval of a digest.
     ///
     /// # Errors
     ///
-    /// [`error::Error::Operator`] or [`error::Error::Signature`].
+    /// Returns [`error::Error::Operator`], [`error::Error::Hex`] or [`error::Error::Signature`].
     pub fn verify(&self, step: Step, digest: Digest, mark: &Mark) -> Result<(), error::Error> {
-        self.check(step, mark, &covered(step, digest, 0, ""))
+        self.check(step, mark, &signed_bytes(step, digest, 0, ""))
     }
 
-    /// Verifies a roll of the digest.
+    /// Verifies a roll of a digest.
     ///
     /// # Errors
     ///
-    /// [`error::Error::Operator`] or [`error::Error::Signature`].
+    /// Returns [`error::Error::Operator`], [`error::Error::Hex`] or [`error::Error::Signature`].
     pub fn verify_roll(&self, digest: Digest, roll: &Roll) -> Result<(), error::Error> {
-        let bytes = covered(Step::Roll, digest, roll.generation, &roll.nonce);
+        let bytes = signed_bytes(Step::Roll, digest, roll.generation, &roll.nonce);
         self.check(Step::Roll, &roll.mark, &bytes)
     }
 
--- a/bundle/tests/bundles.rs
+++ b/bundle/tests/bundles.rs
@@ -1,4 +1,4 @@
-//! What a bundle may say, and who must have signed it.
+//! Rules of a bundle's content and verification of its signatures.
 
 #![allow(clippy::unwrap_used, reason = "a test that fails may panic")]
 
@@ -16,29 +16,29 @@
 }
 
 #[test]
-fn shipped_bundles_read_as_text() {
+fn parses_the_shipped_bundles() {
     let texts = ["mensageira-vale", "cartamar"]
         .map(|name| content::Content::parse(&shipped(name)).unwrap().to_string());
     insta::assert_snapshot!(texts.join("\n"));
 }
 
 #[test]
-fn one_clear_fault_for_each_mistake() {
+fn each_mistake_has_one_clear_error() {
     let good = shipped("cartamar");
-    let fault = |from: &str, to: &str| {
+    let error_of = |from: &str, to: &str| {
         assert!(good.contains(from), "{from}");
         content::Content::parse(&good.replacen(from, to, 1)).unwrap_err().to_string()
     };
-    let faults = [
-        fault("layers = 8", "layres = 8"),
-        fault("layers = 8", "layers = 0"),
-        fault("class = \"draft\"", "class = \"none\""),
-        fault("avisos", "assistente-pratico"),
-        fault("token_sha256 = \"", "token_sha256 = \"x"),
-        fault("skew_weight = 4.0", "skew_weight = -1.0"),
+    let errors = [
+        error_of("layers = 8", "layres = 8"),
+        error_of("layers = 8", "layers = 0"),
+        error_of("class = \"draft\"", "class = \"none\""),
+        error_of("avisos", "assistente-pratico"),
+        error_of("token_sha256 = \"", "token_sha256 = \"x"),
+        error_of("skew_weight = 4.0", "skew_weight = -1.0"),
         content::Content::parse(&"#".repeat(content::MAX_SIZE + 1)).unwrap_err().to_string(),
     ];
-    insta::assert_snapshot!(faults.join("\n"));
+    insta::assert_snapshot!(errors.join("\n"));
 }
 
 struct Operators {
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn only_what_two_operators_signed_opens() {
+fn opens_only_bundles_signed_by_two_operators() {
     let by = operators();
     let good = signed(&by);
     let digest = good.digest();
@@ -79,13 +79,13 @@
     };
     assert!(matches!(change(&|bad| bad.text.push(' ')), error::Error::Signature { .. }));
     assert!(matches!(change(&|bad| bad.roll.generation = 8), error::Error::Signature { .. }));
-    let own = change(&|bad| bad.approver = by.ana.sign(sign::Step::Approval, digest));
-    assert!(matches!(own, error::Error::SelfApproved { .. }));
+    let self_approved = change(&|bad| bad.approver = by.ana.sign(sign::Step::Approval, digest));
+    assert!(matches!(self_approved, error::Error::SelfApproved { .. }));
     let reused = change(&|bad| bad.approver = by.bruno.sign(sign::Step::Proposal, digest));
     assert!(matches!(reused, error::Error::Signature { step: sign::Step::Approval, .. }));
-    let stranger = sign::Signer::new("carla", &"3".repeat(64)).unwrap();
-    let strange = change(&|bad| bad.approver = stranger.sign(sign::Step::Approval, digest));
-    assert!(matches!(strange, error::Error::Operator { .. }));
+    let unknown = sign::Signer::new("carla", &"3".repeat(64)).unwrap();
+    let error = change(&|bad| bad.approver = unknown.sign(sign::Step::Approval, digest));
+    assert!(matches!(error, error::Error::Operator { .. }));
     let renamed = change(&|bad| bad.approver.operator = "ana".into());
     assert!(matches!(renamed, error::Error::Signature { .. }));
 }
@@ -99,7 +99,7 @@
     })]
 
     #[test]
-    fn arbitrary_texts_do_no_harm(
+    fn parsing_arbitrary_text_does_not_panic(
         bytes in prop::collection::vec(any::<u8>(), 0..200),
         at in any::<prop::sample::Index>(),
     ) {
@@ -107,7 +107,7 @@
         content::Content::parse(&noise).ok();
         envelope::Envelope::parse(&bytes).ok();
         sign::Digest::parse(&noise).ok();
-        // A good text with noise in it, too.
+        // A valid text with noise inserted.
         let mut text = shipped("mensageira-vale");
         let index = at.index(text.len());
         text.insert_str(index, &noise);
