--- a/gateway/src/flow.rs
+++ b/gateway/src/flow.rs
@@ -72,7 +72,7 @@
     let routes = gateway.routes.load_full().ok_or_else(|| refused(Refusal::NoConfig))?;
     let request = request::read(head, body, meta, &routes).await.map_err(refused)?;
     // If this runs into the deadline, the dispatcher rejects the request.
-    let settled = gateway.mirror.ends.settled(request.digest);
+    let settled = gateway.mirror.ends.wait_until_settled(request.digest);
     let _in_time = tokio::time::timeout_at(request.due.timer(), settled).await;
     if let poison::Standing::Refused(ends) = gateway.mirror.ends.standing(request.digest) {
         log::info!("request ends servers request={id} digest={} ends={ends}", request.digest);
@@ -128,7 +128,7 @@
         let mut failure: Option<answer::Whole> = None;
         let gateway = self.gateway.clone();
         // While the request waits or is being sent, others may find that it ends servers.
-        let refused = gateway.mirror.ends.refused(request.digest);
+        let refused = gateway.mirror.ends.wait_until_refused(request.digest);
         tokio::pin!(refused);
         loop {
             let next = tokio::select! {
@@ -345,7 +345,7 @@
         self.metrics.attempts.inc();
         let message = message::<P>(request, &attempt.target, left, resume_after);
         let fresh = !request.grant.route.kind.repeatable();
-        let wanted = || self.dispatcher.wants(attempt.server, attempt.at);
+        let wanted = || self.dispatcher.still_accepts(attempt.server, attempt.at);
         let reply = self.upstream.send(&attempt.target, message, fresh, wanted);
         let reply = match tokio::time::timeout_at(request.due.timer(), reply).await {
             Ok(Ok(reply)) => reply,
--- a/gateway/src/metrics.rs
+++ b/gateway/src/metrics.rs
@@ -137,14 +137,14 @@
         let checks = "Health checks of restarted servers whose earlier run left";
         registry.register("health_checks", checks, self.health_checks.clone());
         let (resting, leaving): (Gauge, Gauge) = Default::default();
-        let noticed = gateway.dispatcher.noticed();
+        let noticed = gateway.dispatcher.resting_and_leaving();
         resting.set(noticed.0 as i64);
         leaving.set(noticed.1 as i64);
         registry.register("servers_resting", "Servers that rest at present", resting);
         let reported = "Listed servers that told in their answers that they leave";
         registry.register("servers_leaving", reported, leaving);
         let refused: Gauge = Gauge::default();
-        refused.set(gateway.mirror.ends.convicted().len() as i64);
+        refused.set(gateway.mirror.ends.refused_requests().len() as i64);
         registry.register("requests_that_end_servers", "Requests that are refused for it", refused);
         registry.register("first_byte_seconds", "Time to the head", self.first_byte.clone());
         registry.register("whole_seconds", "Time to the end", self.whole.clone());
--- a/gateway/src/notice.rs
+++ b/gateway/src/notice.rs
@@ -29,7 +29,7 @@
             );
         }
         let born = born(&attempt.target);
-        match self.dispatcher.notice(attempt.server, notice) {
+        match self.dispatcher.apply_notice(attempt.server, notice) {
             None => {}
             Some(notice::Change::Rests(time)) => {
                 self.metrics.rests.inc();
@@ -60,11 +60,11 @@
         if notice == rate::Notice::Unreadable {
             log::warn!("limit not understood request={id} server={server} status={status}");
         }
-        match self.dispatcher.limit(attempt.server, notice, attempt.at) {
+        match self.dispatcher.apply_rate_notice(attempt.server, notice, attempt.at) {
             None => {}
             Some(rate::Change::Limited(limit, before)) => {
                 self.metrics.limits.inc();
-                self.mirror.lifts.limited(&attempt.target.run);
+                self.mirror.lifts.discard_pending(&attempt.target.run);
                 let before = before.map_or_else(|| "-".to_owned(), |before| before.to_string());
                 let pace = self.dispatcher.pace(attempt.server);
                 log::info!(
@@ -76,7 +76,7 @@
                 );
             }
             Some(rate::Change::Lifted(time)) => {
-                self.mirror.limit_lifted(&attempt.target.run);
+                self.mirror.record_lift(&attempt.target.run);
                 log::info!(
                     "server limit lifted server={server} born={} ms={} request={id} \
                      status={status}",
--- a/gateway/src/probe.rs
+++ b/gateway/src/probe.rs
@@ -17,11 +17,11 @@
 /// Probes unreachable groups until the process exits.
 pub async fn run<P: Protocol>(gateway: Arc<state::Gateway<P>>) {
     loop {
-        for (group, ranks) in gateway.dispatcher.out_of_reach().await {
+        for (group, ranks) in gateway.dispatcher.unreachable_groups().await {
             let index = rand::random_range(0..ranks.len().max(1));
             let Some(target) = ranks.get(index) else { continue };
             if upstream::can_connect(target.address).await {
-                gateway.dispatcher.reached(group);
+                gateway.dispatcher.group_reached(group);
             }
         }
         tokio::time::sleep(PROBE_INTERVAL).await;
--- a/gateway/src/stream.rs
+++ b/gateway/src/stream.rs
@@ -179,7 +179,7 @@
         // The time until the first event does not count as a pause.
         let mut last: Option<boot::Instant> = None;
         let gateway = self.gateway.clone();
-        let refused = gateway.mirror.ends.refused(self.request.digest);
+        let refused = gateway.mirror.ends.wait_until_refused(self.request.digest);
         tokio::pin!(refused);
         loop {
             let frame = tokio::select! {
@@ -244,7 +244,7 @@
         let after = splitter.last_id().cloned();
         let mut end = end;
         let gateway = self.gateway.clone();
-        let refused = gateway.mirror.ends.refused(self.request.digest);
+        let refused = gateway.mirror.ends.wait_until_refused(self.request.digest);
         tokio::pin!(refused);
         loop {
             self.permit.end(end);
