--- a/daemon/src/entry/call.rs
+++ b/daemon/src/entry/call.rs
@@ -96,7 +96,7 @@
 ) -> Result<Call, Refusal> {
     let (parts, body) = request.into_parts();
     check_headers(&parts.headers)?;
-    let team = team(&parts.headers, &bundle.content)?;
+    let team = authenticate(&parts.headers, &bundle.content)?;
     let content = &bundle.content;
     let (target, path) = target(&parts)?;
     let body = collect(body, max_body).await?;
@@ -184,7 +184,10 @@
 
 /// The team whose token the request bears. Every team is compared with, in
 /// constant time, so that the time tells nothing.
-pub fn team(headers: &http::HeaderMap, content: &content::Content) -> Result<Arc<str>, Refusal> {
+pub fn authenticate(
+    headers: &http::HeaderMap,
+    content: &content::Content,
+) -> Result<Arc<str>, Refusal> {
     let bearer = text(headers, "authorization")?.and_then(|text| text.strip_prefix("Bearer "));
     let hash = hex::encode(sha2::Sha256::digest(bearer.ok_or(Refusal::Token)?.as_bytes()));
     let mut found = None;
--- a/daemon/src/entry/claim.rs
+++ b/daemon/src/entry/claim.rs
@@ -36,7 +36,7 @@
 ///
 /// A [`Refusal`]; this ask has not run, and the refusal says what is known of
 /// earlier ones.
-pub async fn make(
+pub async fn acquire(
     process: &Arc<process::Process>,
     call: &call::Call,
     key: home::key::Key,
@@ -103,12 +103,12 @@
 
 impl Claim {
     /// An attempt is about to leave: from here on the request may run.
-    pub fn attempt(&mut self) {
+    pub fn mark_sent(&mut self) {
         self.fallback = Outcome::Unknown;
     }
 
     /// The attempt surely never ran.
-    pub fn never_ran(&mut self) {
+    pub fn mark_not_run(&mut self) {
         self.fallback = Outcome::NotRun;
     }
 
--- a/daemon/src/entry/dispatch.rs
+++ b/daemon/src/entry/dispatch.rs
@@ -18,7 +18,7 @@
 const REVOKE_TRIES: u32 = 2;
 
 /// An attempt whose answer has begun.
-pub struct Begun {
+pub struct Answer {
     /// Status and headers.
     pub head: wire::Head,
     /// The rest.
@@ -27,7 +27,7 @@
     pub id: wire::AttemptId,
 }
 
-impl Begun {
+impl Answer {
     /// What the backend server says of its own near future: as on the users'
     /// machines, failures may ask for rest. That it leaves its agent tells.
     pub fn notice(&self) -> notice::Notice {
@@ -54,15 +54,15 @@
 }
 
 /// What an attempt came to.
-pub enum Sent {
+pub enum Response {
     /// Its answer has begun.
-    Begun(Box<Begun>),
+    Answer(Box<Answer>),
     /// It ended without one.
-    Ended(Ended),
+    Failure(Failure),
 }
 
 /// The end of an attempt whose answer has not begun.
-pub struct Ended {
+pub struct Failure {
     /// How it ended.
     pub end: balancer::End,
     /// Why, for the log.
@@ -71,9 +71,9 @@
     pub report: Option<wire::Report>,
 }
 
-impl Sent {
-    fn ended(end: balancer::End, cause: String) -> Sent {
-        Sent::Ended(Ended { end, cause, report: None })
+impl Response {
+    fn failure(end: balancer::End, cause: String) -> Response {
+        Response::Failure(Failure { end, cause, report: None })
     }
 }
 
@@ -88,7 +88,7 @@
     /// The run of the agent that it is meant for.
     pub incarnation: u64,
     /// Time that is left.
-    pub left: Duration,
+    pub remaining: Duration,
     /// When it may not start any more.
     pub expiry: clock::Wall,
 }
@@ -114,7 +114,7 @@
             path: call.path.clone(),
             headers: call.headers.iter().map(header).collect(),
             body: call.body.clone(),
-            budget_ms: self.left.as_millis() as u32,
+            budget_ms: self.remaining.as_millis() as u32,
             precedence: call.class.precedence,
             backend: self.target.backend.to_string(),
             expiry_ms: self.expiry.millis(),
@@ -123,7 +123,7 @@
 }
 
 /// Sends the attempt and waits for its first frame.
-pub async fn send(process: &process::Process, attempt: &Attempt<'_>) -> Sent {
+pub async fn send(process: &process::Process, attempt: &Attempt<'_>) -> Response {
     process.metrics.attempts.inc();
     let mut agent = process.links.get(attempt.target.address).agent.clone();
     let first = async {
@@ -131,11 +131,11 @@
         let frame = frames.message().await?;
         Ok::<_, tonic::Status>((frame, frames))
     };
-    let (frame, frames) = match tokio::time::timeout(attempt.left, first).await {
+    let (frame, frames) = match tokio::time::timeout(attempt.remaining, first).await {
         Ok(Ok((Some(frame), frames))) => (frame, frames),
         Ok(Ok((None, _))) => return settle(process, attempt, "stream ended").await,
         Ok(Err(status)) if link::never_sent(&status) => {
-            return Sent::ended(balancer::End::NeverRan, "not connected".to_owned());
+            return Response::failure(balancer::End::NeverRan, "not connected".to_owned());
         }
         Ok(Err(status)) => return settle(process, attempt, status.message()).await,
         Err(_) => return settle(process, attempt, "deadline").await,
@@ -146,13 +146,13 @@
     }
     match frame.kind {
         Some(wire::frame::Kind::Head(head)) => {
-            Sent::Begun(Box::new(Begun { head, frames, id: attempt.id() }))
+            Response::Answer(Box::new(Answer { head, frames, id: attempt.id() }))
         }
         Some(wire::frame::Kind::Refused(refused)) => refusal(refused),
         Some(wire::frame::Kind::Broken(broken)) => {
             let subject = Subject::new(attempt.call, attempt.target.host.clone());
-            let end = subject.ended(process, &attempt.id(), &broken, false);
-            Sent::ended(end, broken.reason)
+            let end = subject.record_end(process, &attempt.id(), &broken, false);
+            Response::failure(end, broken.reason)
         }
         _ => settle(process, attempt, "answer without a head").await,
     }
@@ -176,7 +176,7 @@
 
     /// How an attempt ended that broke off. A backend server that ended is
     /// counted for the request.
-    pub fn ended(
+    pub fn record_end(
         &self,
         process: &process::Process,
         id: &wire::AttemptId,
@@ -193,17 +193,17 @@
     }
 }
 
-fn refusal(refused: wire::Refused) -> Sent {
+fn refusal(refused: wire::Refused) -> Response {
     let end = match refused.reason() {
         wire::Refusal::Full => balancer::End::Full,
         _ => balancer::End::NeverRan,
     };
     let cause = refused.reason().as_str_name().to_lowercase();
-    Sent::Ended(Ended { end, cause, report: refused.report })
+    Response::Failure(Failure { end, cause, report: refused.report })
 }
 
 /// Asks the agent what became of the attempt, and forbids it to start.
-async fn settle(process: &process::Process, attempt: &Attempt<'_>, cause: &str) -> Sent {
+async fn settle(process: &process::Process, attempt: &Attempt<'_>, cause: &str) -> Response {
     let mut phase = wire::Phase::Unknown;
     for _ in 0..REVOKE_TRIES {
         let mut agent = process.links.get(attempt.target.address).agent.clone();
@@ -219,5 +219,5 @@
         wire::Phase::Never => balancer::End::NeverRan,
         _ => balancer::End::MayHaveRun { answer_begun: false },
     };
-    Sent::ended(end, format!("{cause}; {}", phase.as_str_name().to_lowercase()))
+    Response::failure(end, format!("{cause}; {}", phase.as_str_name().to_lowercase()))
 }
--- a/daemon/src/entry/dispatcher.rs
+++ b/daemon/src/entry/dispatcher.rs
@@ -184,7 +184,7 @@
 
     /// An answer said something of its backend server's near future. Returns
     /// what has changed by it.
-    pub fn notice(
+    pub fn apply_notice(
         &self,
         server: entity::Server,
         notice: &notice::Notice,
@@ -198,7 +198,7 @@
 
     /// The answer to a request that was chosen for a backend server at `chosen` said
     /// something of the server's rate limit. Returns what has changed by it.
-    pub fn limit(
+    pub fn apply_limit(
         &self,
         server: entity::Server,
         notice: rate::Notice,
@@ -212,7 +212,7 @@
     }
 
     /// An agent's report stream opened or closed.
-    pub fn connect(&self, server: entity::Server, up: bool) {
+    pub fn set_connected(&self, server: entity::Server, up: bool) {
         let now = self.clock.now();
         let mut inner = self.lock();
         let actions = inner.balancer.set_connected(server, up, now);
--- a/daemon/src/entry/flow.rs
+++ b/daemon/src/entry/flow.rs
@@ -28,7 +28,7 @@
     let answer = match serve(&entry, id, request).await {
         Ok(response) => response,
         Err(refusal) => {
-            let outcome = refusal.outcome().word();
+            let outcome = refusal.outcome().as_str();
             entry.process.history.record(
                 &id.to_string(),
                 format!("choice=refuse outcome={outcome} reason=\"{refusal}\""),
@@ -64,7 +64,7 @@
     // The deadline runs while the key is claimed, too.
     let began = boot::Instant::now();
     let claim = match call.key {
-        Some(key) if !call.class.repeatable => Some(claim::make(process, &call, key).await?),
+        Some(key) if !call.class.repeatable => Some(claim::acquire(process, &call, key).await?),
         _ => None,
     };
     let budget = call.budget.checked_sub(began.elapsed()).ok_or(Refusal::Deadline)?;
@@ -86,7 +86,7 @@
     request: &http::Request<Incoming>,
     bundle: &force::Bundle,
 ) -> Result<http::Response<relay::Body>, Refusal> {
-    call::team(request.headers(), &bundle.content)?;
+    call::authenticate(request.headers(), &bundle.content)?;
     let names = bundle.content.models.iter();
     let names = names.flat_map(|model| std::iter::once(&model.name).chain(&model.adapters));
     let entry = |name| serde_json::json!({ "id": name, "object": "model", "owned_by": "loftcove" });
@@ -95,7 +95,7 @@
     let mut response = http::Response::new(relay::Body::whole(text.into()));
     let json = http::HeaderValue::from_static("application/json");
     response.headers_mut().insert(http::header::CONTENT_TYPE, json);
-    let answered = http::HeaderValue::from_static(Outcome::Answered.word());
+    let answered = http::HeaderValue::from_static(Outcome::Answered.as_str());
     response.headers_mut().insert(call::OUTCOME_HEADER, answered);
     Ok(response)
 }
@@ -127,8 +127,8 @@
             match action {
                 balancer::Action::Refuse(refusal) => return Err(self.give_up(refusal)),
                 balancer::Action::Send(next) => {
-                    if let Some(begun) = self.attempt(&mut permit, &next).await {
-                        return Ok(self.hand_on(permit, next.choice.server, *begun).await);
+                    if let Some(answer) = self.attempt(&mut permit, &next).await {
+                        return Ok(self.hand_on(permit, next.choice.server, *answer).await);
                     }
                 }
             }
@@ -156,7 +156,9 @@
         if notice.rest == notice::Rest::Unreadable {
             log::warn!("rest not understood request={} server={}", self.call.id, target.host);
         }
-        if let Some(notice::Change::Rests(time)) = self.entry.dispatcher.notice(server, notice) {
+        if let Some(notice::Change::Rests(time)) =
+            self.entry.dispatcher.apply_notice(server, notice)
+        {
             let (host, ms) = (&target.host, time.as_millis());
             log::info!(
                 "server rests server={host} asked_ms={} ms={ms} request={}",
@@ -177,7 +179,7 @@
         if notice == rate::Notice::Unreadable {
             log::warn!("limit not understood request={id} server={server}");
         }
-        match self.entry.dispatcher.limit(next.choice.server, notice, next.at) {
+        match self.entry.dispatcher.apply_limit(next.choice.server, notice, next.at) {
             None => {}
             Some(rate::Change::Limited(limit, _)) => {
                 log::info!("server limited server={server} per_second={limit} request={id}");
@@ -194,43 +196,44 @@
         &mut self,
         permit: &mut dispatcher::Permit,
         next: &balancer::Dispatch,
-    ) -> Option<Box<dispatch::Begun>> {
+    ) -> Option<Box<dispatch::Answer>> {
         let Some((target, incarnation)) = self.entry.dispatcher.target(next.choice.server) else {
             permit.end(balancer::End::NeverRan);
             return None;
         };
         self.note(next, &target);
-        let left = self.due.saturating_duration_since(boot::Instant::now());
+        let remaining = self.due.saturating_duration_since(boot::Instant::now());
         let process = self.entry.process.clone();
         let attempt = dispatch::Attempt {
             call: &self.call,
             number: next.attempt,
             target: &target,
             incarnation,
-            left,
-            expiry: process.clock.wall() + left,
+            remaining,
+            expiry: process.clock.wall() + remaining,
         };
         if let Some(claim) = &mut self.claim {
-            claim.attempt();
+            claim.mark_sent();
         }
         let sent_at = boot::Instant::now();
         match dispatch::send(&process, &attempt).await {
-            dispatch::Sent::Begun(begun) => {
+            dispatch::Response::Answer(answer) => {
                 permit.begin(sent_at.elapsed());
-                self.take_notice(next.choice.server, &target, &begun.notice());
-                self.take_limit(next, &target, begun.limit());
-                Some(begun)
+                self.take_notice(next.choice.server, &target, &answer.notice());
+                self.take_limit(next, &target, answer.limit());
+                Some(answer)
             }
-            dispatch::Sent::Ended(ended) => {
-                self.note_end(next.attempt, &ended);
-                if let Some(report) = ended.report {
+            dispatch::Response::Failure(failure) => {
+                self.note_end(next.attempt, &failure);
+                if let Some(report) = failure.report {
                     self.entry.dispatcher.report(next.choice.server, &report);
                 }
-                let never_ran = matches!(ended.end, balancer::End::Full | balancer::End::NeverRan);
+                let never_ran =
+                    matches!(failure.end, balancer::End::Full | balancer::End::NeverRan);
                 if let (Some(claim), true) = (&mut self.claim, never_ran) {
-                    claim.never_ran();
+                    claim.mark_not_run();
                 }
-                permit.end(ended.end);
+                permit.end(failure.end);
                 None
             }
         }
@@ -262,10 +265,10 @@
         );
     }
 
-    fn note_end(&self, attempt: u32, ended: &dispatch::Ended) {
+    fn note_end(&self, attempt: u32, failure: &dispatch::Failure) {
         self.entry.process.history.record(
             &self.call.id.to_string(),
-            format!("attempt={attempt} ended={:?} cause=\"{}\"", ended.end, ended.cause),
+            format!("attempt={attempt} ended={:?} cause=\"{}\"", failure.end, failure.cause),
         );
     }
 
@@ -274,12 +277,12 @@
         self,
         permit: dispatcher::Permit,
         server: entity::Server,
-        begun: dispatch::Begun,
+        answer: dispatch::Answer,
     ) -> http::Response<relay::Body> {
         let target = self.entry.dispatcher.target(server);
         let host = target.map(|(target, _)| target.host).unwrap_or_default();
         let subject = dispatch::Subject::new(&self.call, host);
-        let finish = relay::Finish {
+        let finish = relay::Completion {
             process: self.entry.process.clone(),
             dispatcher: self.entry.dispatcher.clone(),
             server,
@@ -287,8 +290,8 @@
             subject,
             permit: Some(permit),
             claim: self.claim,
-            _flight: self.flight,
+            _in_flight: self.flight,
         };
-        relay::respond(begun, finish, self.due).await
+        relay::respond(answer, finish, self.due).await
     }
 }
--- a/daemon/src/entry/follow.rs
+++ b/daemon/src/entry/follow.rs
@@ -69,7 +69,7 @@
         if watch(&entry, server, &target).await.unwrap_or(false) {
             backoff = BACKOFF.0;
         }
-        entry.dispatcher.connect(server, false);
+        entry.dispatcher.set_connected(server, false);
         tokio::time::sleep(clock::jitter(backoff, 0.5..1.0)).await;
         backoff = (backoff * 2).min(BACKOFF.1);
     }
@@ -96,7 +96,7 @@
     while let Ok(Ok(Some(report))) = tokio::time::timeout(silence, stream.message()).await {
         entry.dispatcher.report(server, &report);
         if !any {
-            entry.dispatcher.connect(server, true);
+            entry.dispatcher.set_connected(server, true);
         }
         any = true;
     }
--- a/daemon/src/entry/refusal.rs
+++ b/daemon/src/entry/refusal.rs
@@ -85,7 +85,7 @@
 
 impl Outcome {
     /// The word for it in headers and bodies.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Outcome::Answered => "answered",
             Outcome::NotRun => "not-run",
@@ -182,7 +182,7 @@
     /// The whole answer.
     pub fn response(&self, request_id: &str) -> http::Response<Full<Bytes>> {
         let (status, kind) = self.class();
-        let outcome = self.outcome().word();
+        let outcome = self.outcome().as_str();
         let error = Error { r#type: kind, message: self.to_string(), outcome, request_id };
         let json = serde_json::to_vec(&Body { error }).unwrap_or_default();
         let mut response = http::Response::new(Full::from(json));
--- a/daemon/src/entry/relay.rs
+++ b/daemon/src/entry/relay.rs
@@ -28,7 +28,7 @@
 const EVENT_STREAM: &[u8] = b"text/event-stream";
 
 /// What is to be done when an answer ends. Dropped before that, the caller left.
-pub struct Finish {
+pub struct Completion {
     /// The process.
     pub process: Arc<process::Process>,
     /// The dispatcher, which learns the load that the end mark bears.
@@ -44,10 +44,10 @@
     /// Its claim.
     pub claim: Option<claim::Claim>,
     /// Its share in the requests in flight.
-    pub _flight: life::InFlight,
+    pub _in_flight: life::InFlight,
 }
 
-impl Finish {
+impl Completion {
     fn end(&mut self, end: balancer::End, outcome: Outcome, reason: &str) {
         if let Some(mut permit) = self.permit.take() {
             permit.end(end);
@@ -55,10 +55,10 @@
         if let Some(claim) = self.claim.take() {
             claim.settle(outcome);
         }
-        self.process.metrics.count(outcome.word(), reason.to_owned());
+        self.process.metrics.count(outcome.as_str(), reason.to_owned());
         self.process
             .history
-            .record(&self.request, format!("outcome={} reason={reason}", outcome.word()));
+            .record(&self.request, format!("outcome={} reason={reason}", outcome.as_str()));
     }
 
     fn answered(&mut self) {
@@ -89,7 +89,7 @@
 
 /// Reads a frame; one that does not echo the attempt is dropped and counted.
 fn part(
-    finish: &Finish,
+    completion: &Completion,
     id: &wire::AttemptId,
     frame: Result<Option<wire::Frame>, tonic::Status>,
 ) -> Option<Part> {
@@ -99,19 +99,19 @@
         Err(_) => return Some(Part::Broken("agent-lost")),
     };
     if frame.id.as_ref() != Some(id) {
-        finish.process.metrics.dropped_frames.inc();
+        completion.process.metrics.dropped_frames.inc();
         return None;
     }
     match frame.kind {
         Some(wire::frame::Kind::Data(data)) => Some(Part::Data(data)),
         Some(wire::frame::Kind::End(end)) => {
             if let Some(report) = end.report {
-                finish.dispatcher.report(finish.server, &report);
+                completion.dispatcher.report(completion.server, &report);
             }
             Some(Part::End)
         }
         Some(wire::frame::Kind::Broken(broken)) => {
-            finish.subject.ended(&finish.process, id, &broken, true);
+            completion.subject.record_end(&completion.process, id, &broken, true);
             Some(Part::Broken("server-broke-off"))
         }
         _ => Some(Part::Broken("out-of-order")),
@@ -120,38 +120,38 @@
 
 /// Builds the caller's answer.
 pub async fn respond(
-    mut begun: dispatch::Begun,
-    mut finish: Finish,
+    mut answer: dispatch::Answer,
+    mut completion: Completion,
     due: boot::Instant,
 ) -> http::Response<Body> {
     let mut response = http::Response::new(());
-    *response.status_mut() = http::StatusCode::from_u16(begun.head.status as u16)
+    *response.status_mut() = http::StatusCode::from_u16(answer.head.status as u16)
         .unwrap_or(http::StatusCode::BAD_GATEWAY);
     let headers = response.headers_mut();
-    for header in &begun.head.headers {
+    for header in &answer.head.headers {
         let name = http::HeaderName::from_bytes(header.name.as_bytes());
         let value = http::HeaderValue::from_bytes(&header.value);
         if let (Ok(name), Ok(value)) = (name, value) {
             headers.append(name, value);
         }
     }
-    if let Ok(id) = http::HeaderValue::from_str(&finish.request) {
+    if let Ok(id) = http::HeaderValue::from_str(&completion.request) {
         headers.insert(call::REQUEST_ID_HEADER, id);
     }
     let kind = headers.get(http::header::CONTENT_TYPE);
     let events = kind.is_some_and(|kind| kind.as_bytes().starts_with(EVENT_STREAM));
     let mut held = VecDeque::new();
     if !events {
-        match hold(&mut begun, &finish, &mut held, due).await {
+        match hold(&mut answer, &completion, &mut held, due).await {
             Held::Whole => {
-                finish.answered();
-                let outcome = http::HeaderValue::from_static(Outcome::Answered.word());
+                completion.answered();
+                let outcome = http::HeaderValue::from_static(Outcome::Answered.as_str());
                 response.headers_mut().insert(call::OUTCOME_HEADER, outcome);
                 return response.map(|()| Body::whole(concat(held).into()));
             }
             Held::Broken(reason) => {
-                finish.broken(reason);
-                return Refusal::Lost.response(&finish.request).map(Body::whole);
+                completion.broken(reason);
+                return Refusal::Lost.response(&completion.request).map(Body::whole);
             }
             Held::Long => {}
         }
@@ -159,7 +159,7 @@
     let trailer = http::HeaderValue::from_static(call::OUTCOME_HEADER);
     response.headers_mut().insert(http::header::TRAILER, trailer);
     let sleep = Box::pin(tokio::time::sleep_until(due.timer()));
-    let stream = Stream { begun, finish, events, held, deadline: sleep, state: State::Open };
+    let stream = Stream { answer, completion, events, held, deadline: sleep, state: State::Open };
     response.map(|()| Body { inner: Inner::Stream(Box::new(stream)) })
 }
 
@@ -171,16 +171,16 @@
 }
 
 async fn hold(
-    begun: &mut dispatch::Begun,
-    finish: &Finish,
+    answer: &mut dispatch::Answer,
+    completion: &Completion,
     held: &mut VecDeque<Bytes>,
     due: boot::Instant,
 ) -> Held {
     let mut size = 0;
     while size <= HOLD_LIMIT {
-        let next = tokio::time::timeout_at(due.timer(), begun.frames.message()).await;
+        let next = tokio::time::timeout_at(due.timer(), answer.frames.message()).await;
         let Ok(frame) = next else { return Held::Broken("deadline") };
-        match part(finish, &begun.id, frame) {
+        match part(completion, &answer.id, frame) {
             Some(Part::Data(data)) => {
                 size += data.len();
                 held.push_back(data);
@@ -216,8 +216,8 @@
 
 /// An answer on its way.
 struct Stream {
-    begun: dispatch::Begun,
-    finish: Finish,
+    answer: dispatch::Answer,
+    completion: Completion,
     events: bool,
     held: VecDeque<Bytes>,
     deadline: Pin<Box<tokio::time::Sleep>>,
@@ -256,14 +256,14 @@
             if self.deadline.as_mut().poll(context).is_ready() {
                 return Poll::Ready(self.break_off("deadline"));
             }
-            let frame = match Pin::new(&mut self.begun.frames).poll_next(context) {
+            let frame = match Pin::new(&mut self.answer.frames).poll_next(context) {
                 Poll::Pending => return Poll::Pending,
                 Poll::Ready(frame) => frame.transpose(),
             };
-            match part(&self.finish, &self.begun.id, frame) {
+            match part(&self.completion, &self.answer.id, frame) {
                 Some(Part::Data(data)) => return Poll::Ready(Some(Ok(Frame::data(data)))),
                 Some(Part::End) => {
-                    self.finish.answered();
+                    self.completion.answered();
                     self.state = State::Trailers;
                     if self.events {
                         return Poll::Ready(Some(Ok(Frame::data(last_comment()))));
@@ -278,7 +278,7 @@
     /// Tells an event stream's reader that the answer is not whole, then ends
     /// the body with an error.
     fn break_off(&mut self, reason: &'static str) -> Option<Result<Frame<Bytes>, Error>> {
-        self.finish.broken(reason);
+        self.completion.broken(reason);
         if !self.events {
             self.state = State::Done;
             return Some(Err(Error::Broken));
@@ -288,8 +288,8 @@
             "error": {
                 "type": "answer-lost",
                 "message": Refusal::Lost.to_string(),
-                "outcome": Outcome::Unknown.word(),
-                "request_id": self.finish.request,
+                "outcome": Outcome::Unknown.as_str(),
+                "request_id": self.completion.request,
             }
         });
         Some(Ok(Frame::data(format!("event: error\ndata: {error}\n\n").into())))
@@ -298,12 +298,12 @@
 
 /// A comment, which readers of server-sent events pass over.
 fn last_comment() -> Bytes {
-    format!(": {} {}\n\n", call::OUTCOME_HEADER, Outcome::Answered.word()).into()
+    format!(": {} {}\n\n", call::OUTCOME_HEADER, Outcome::Answered.as_str()).into()
 }
 
 fn trailers(outcome: Outcome) -> Frame<Bytes> {
     let mut trailers = http::HeaderMap::new();
-    trailers.insert(call::OUTCOME_HEADER, http::HeaderValue::from_static(outcome.word()));
+    trailers.insert(call::OUTCOME_HEADER, http::HeaderValue::from_static(outcome.as_str()));
     Frame::trailers(trailers)
 }
 
