--- a/daemon/src/entry.rs
+++ b/daemon/src/entry.rs
@@ -1,9 +1,12 @@
-//! The role `entry`: takes callers' requests and decides where each goes.
+//! The role `entry`: accepts clients' requests and selects a backend server for each.
 //!
-//! [`server`] listens, [`call`] reads what a caller asks, [`flow`] takes it
-//! through [`claim`], [`dispatcher`] and [`dispatch`], and [`relay`] hands the answer
-//! on. [`follow`] keeps the load of the agents, [`assignment`] looks after the
-//! homes of idempotency keys, [`drive`] after the expert maps.
+//! - [`server`] accepts connections, and [`call`] reads and validates a request.
+//! - [`flow`] handles the request: it claims its idempotency key with [`claim`], selects a server
+//!   with [`dispatcher`], and makes attempts with [`dispatch`].
+//! - [`relay`] relays the answer to the client, and [`refusal`] answers requests that are rejected.
+//! - [`follow`] receives the load reports of the agents.
+//! - [`assignment`] assigns homes to the slots of idempotency keys.
+//! - [`drive`] changes the expert maps of groups.
 
 mod assignment;
 mod call;
@@ -26,34 +29,35 @@
 
 use crate::{Error, link, listen, peer, process, stop};
 
-/// What the tasks of an entry host share.
+/// State that the tasks of an entry host share.
 pub struct Entry {
-    /// The process.
+    /// State of the process, independent of its role.
     pub process: Arc<process::Process>,
-    /// Its decisions.
+    /// Queue of the requests, and choice of a backend server for each.
     pub dispatcher: Arc<dispatcher::Dispatcher>,
-    /// Groups that it drives.
+    /// Groups whose expert maps this process drives.
     pub groups: drive::Groups,
 }
 
-/// Runs until a planned stop is over.
+/// Runs the entry host until a planned stop has completed.
 ///
 /// # Errors
 ///
-/// An [`Error`] of an address or of the signals.
+/// Returns an [`Error`] if an address cannot be listened on or the signal handlers cannot be
+/// installed.
 pub async fn run(process: Arc<process::Process>, peers: TcpListener) -> Result<(), Error> {
     let signals = stop::Signals::new()?;
-    // The role was checked with the settings.
+    // Validation of the settings ensures that the section exists for this role.
     let settings = process.settings.entry.clone().expect("an entry has its section");
     let dispatcher = Arc::new(dispatcher::Dispatcher::new(&settings, process.clock));
     let groups = drive::Groups::default();
     let entry = Arc::new(Entry { process: process.clone(), dispatcher, groups });
-    let callers = listen(settings.http_address, "http").await?;
+    let clients = listen(settings.http_address, "http").await?;
     tokio::spawn(follow::run(entry.clone()));
     tokio::spawn(dispatcher::tick(entry.dispatcher.clone()));
     tokio::spawn(assignment::run(entry.clone()));
     tokio::spawn(drive::run(entry.clone()));
-    tokio::spawn(server::run(entry.clone(), callers));
+    tokio::spawn(server::run(entry.clone(), clients));
     let key = link::Key::new(&process.settings.process.key).map_err(crate::process::Error::Key)?;
     let service = wire::peer_server::PeerServer::new(peer::Peer::new(process.clone(), entry))
         .accept_compressed(CompressionEncoding::Gzip)
--- a/daemon/src/entry/assignment.rs
+++ b/daemon/src/entry/assignment.rs
@@ -1,5 +1,8 @@
-//! Assigns the slots of idempotency keys to agents: writes the first table of
-//! homes, and gives those that have lost their agent another one.
+//! Assigns the slots of idempotency keys to agents.
+//!
+//! The *home* of a slot is the agent that grants the slot's keys, and its *witness* is an agent on
+//! another host that may take the slot over. The table of homes is stored in the platform. This
+//! module creates it, and assigns another home to each slot that has lost both (an *orphaned* slot).
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,36 +16,38 @@
 use crate::entry::Entry;
 use crate::{clock, homes, leader, process};
 
-/// Time between two looks.
-const PAUSE: Duration = Duration::from_secs(1);
-/// Name of the task among those that one entry host should do.
+/// Mean interval between two checks of the table.
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
+/// Name of the task in the election of the entry host that performs it.
 const TASK: &str = "homes";
 
-/// Runs until the process ends.
+/// Checks the table periodically until the process exits.
 pub async fn run(entry: Arc<Entry>) {
     loop {
-        tokio::time::sleep(clock::jitter(PAUSE, 0.5..1.5)).await;
-        if wanted(&entry.process) && leader::is_me(&entry.process, TASK, |_| true).await {
-            tend(&entry.process).await;
+        tokio::time::sleep(clock::jitter(CHECK_INTERVAL, 0.5..1.5)).await;
+        if needs_update(&entry.process) && leader::is_me(&entry.process, TASK, |_| true).await {
+            update_table(&entry.process).await;
         }
     }
 }
 
-/// Whether the table, as far as this process has heard, needs anything.
-fn wanted(process: &process::Process) -> bool {
+/// Returns whether the last received table is missing or has an orphaned slot.
+fn needs_update(process: &process::Process) -> bool {
     let table = process.gossip.homes();
     table.slots.is_empty() || table.slots.iter().any(|entry| orphaned(process, entry))
 }
 
-/// Whether home and witness are both gone from the host list.
+/// Returns whether neither home nor witness of the slot is in the host list.
 fn orphaned(process: &process::Process, entry: &home::table::Entry) -> bool {
-    let gone = |host: &str| process.host(host).is_none();
-    gone(&entry.home.host) && entry.witness.as_ref().is_none_or(|witness| gone(witness))
+    let is_unlisted = |host: &str| process.host(host).is_none();
+    is_unlisted(&entry.home.host)
+        && entry.witness.as_ref().is_none_or(|witness| is_unlisted(witness))
 }
 
-async fn tend(process: &process::Process) {
-    let rules = &process.settings.homes;
-    let elected = homes::elect(&process.gossip.hosts(), rules.per_zone);
+/// Reads the table from the platform, and creates it or reassigns its orphaned slots.
+async fn update_table(process: &process::Process) {
+    let settings = &process.settings.homes;
+    let elected = homes::elect(&process.gossip.hosts(), settings.per_zone);
     if elected.is_empty() {
         return;
     }
@@ -50,26 +55,31 @@
     let Ok(entry) = process.platform.get(&name).await else { return };
     let nonce = format!("{:032x}", rand::random::<u128>());
     let Some(entry) = entry else {
-        let table = home::table::Table::found(&elected, rules.slots as usize, nonce);
-        write(process, &name, 0, &table, "found").await;
+        let table = home::table::Table::found(&elected, settings.slots as usize, nonce);
+        write_table(process, &name, 0, &table, "found").await;
         return;
     };
     let Ok(mut table) = serde_json::from_slice::<home::table::Table>(&entry.value) else { return };
     table.nonce = nonce;
-    let heir = |slot: usize, _: &home::table::Entry| {
+    let successor = |slot: usize, _: &home::table::Entry| {
         let host = elected.get(slot % elected.len())?.host.clone();
         Some(home::table::Holder { host, incarnation: home::table::NO_RUN })
     };
-    let changed =
-        table.reassign(|slot| orphaned(process, slot), heir, &elected, home::table::Way::Orphaned);
+    let changed = table.reassign(
+        |slot| orphaned(process, slot),
+        successor,
+        &elected,
+        home::table::Way::Orphaned,
+    );
     if changed {
-        write(process, &name, entry.revision, &table, "adopt").await;
+        write_table(process, &name, entry.revision, &table, "adopt").await;
     } else {
-        take(process, entry);
+        apply(process, entry);
     }
 }
 
-async fn write(
+/// Writes the table if its revision is still the expected one. Applies the result locally.
+async fn write_table(
     process: &process::Process,
     name: &str,
     expected: store::Revision,
@@ -77,19 +87,20 @@
     cause: &str,
 ) {
     let value: Bytes = serde_json::to_vec(table).unwrap_or_default().into();
-    let fate = store::swap_confirmed(&process.platform, name, expected, value.clone()).await;
-    let won = matches!(fate, Ok(store::Outcome::Won(_)));
+    let result = store::swap_confirmed(&process.platform, name, expected, value.clone()).await;
+    let won = matches!(result, Ok(store::Outcome::Won(_)));
     process.history.record(TASK, format!("choice={cause} won={won}"));
-    match fate {
-        Ok(store::Outcome::Won(revision)) => take(process, store::Entry { revision, value }),
+    match result {
+        Ok(store::Outcome::Won(revision)) => apply(process, store::Entry { revision, value }),
         Ok(store::Outcome::Overtaken(Some(entry)) | store::Outcome::Conflict(Some(entry))) => {
-            take(process, entry);
+            apply(process, entry);
         }
         Ok(store::Outcome::Overtaken(None) | store::Outcome::Conflict(None)) | Err(_) => {}
     }
 }
 
-fn take(process: &process::Process, entry: store::Entry) {
+/// Applies a table that was read or written, without waiting for gossip.
+fn apply(process: &process::Process, entry: store::Entry) {
     let kind = wire::Kind::Homes.into();
     process.take(wire::Record { kind, revision: entry.revision, value: entry.value });
 }
--- a/daemon/src/entry/call.rs
+++ b/daemon/src/entry/call.rs
@@ -1,4 +1,4 @@
-//! What a caller asks, read from HTTP and checked against the bundle.
+//! Reads a client's request from HTTP and validates it against the bundle in force.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,61 +15,61 @@
 use crate::entry::refusal::Refusal;
 use crate::force;
 
-/// Header with the request class.
+/// Request header with the name of the request class.
 pub const CLASS_HEADER: &str = "loftcove-class";
-/// Header with the time that is left for the answer, milliseconds.
+/// Request header with the time until the deadline, in milliseconds.
 pub const DEADLINE_HEADER: &str = "loftcove-deadline-ms";
-/// Header with the idempotency key.
+/// Request header with the idempotency key.
 pub const KEY_HEADER: &str = "idempotency-key";
-/// Header or trailer with the outcome.
+/// Response header or trailer with the outcome.
 pub const OUTCOME_HEADER: &str = "loftcove-outcome";
-/// Header with the request's id.
+/// Response header with the id of the request.
 pub const REQUEST_ID_HEADER: &str = "loftcove-request-id";
 
 /// Path of chat requests.
 const CHAT_PATH: &str = "/v1/chat/completions";
-/// Beginning of the paths of plain services.
+/// Path prefix of plain services.
 const SERVICE_PREFIX: &str = "/services/";
-/// Headers of one request at the most, bytes.
-const MAX_HEADERS: usize = 16 * 1024;
-/// How much of a body over the limit is read and dropped before the answer, as
-/// a multiple of the limit, and for how long.
+/// Maximum total size of a request's headers, in bytes.
+const MAX_HEADER_BYTES: usize = 16 * 1024;
+/// Maximum amount of an oversized body that is discarded before the response, as a multiple of the
+/// size limit.
 const DISCARD_FACTOR: usize = 8;
-/// See [`DISCARD_FACTOR`].
-const DISCARD_TIME: Duration = Duration::from_secs(1);
-/// Bytes of a prompt that decide which prefix cache it suits.
+/// Maximum time for which an oversized body is discarded before the response.
+const DISCARD_TIMEOUT: Duration = Duration::from_secs(1);
+/// Length of the beginning of a prompt that selects a prefix cache, in bytes.
 const PREFIX_BYTES: usize = 256;
 
-/// A request, checked.
+/// A validated request.
 #[derive(Debug, Clone)]
 pub struct Call {
-    /// Its id.
+    /// Id that this entry host gave the request.
     pub id: uuid::Uuid,
-    /// Model or service that answers it.
+    /// Pool of backend servers, named after the requested model or service.
     pub pool: Arc<str>,
-    /// Team that sent it.
+    /// Team that the client belongs to.
     pub team: Arc<str>,
-    /// Its class.
+    /// Request class.
     pub class: content::Class,
-    /// Time that is left for the answer.
+    /// Time until the deadline.
     pub budget: Duration,
-    /// Whether it may have ended a backend server, as far as was known when it came.
+    /// Whether the request was suspected of having ended a backend server when it arrived.
     pub suspect: bool,
-    /// Its idempotency key.
+    /// Idempotency key, if the client gave one.
     pub key: Option<home::key::Key>,
-    /// Hash of the prompt's beginning; zero for a service.
+    /// Hash of the beginning of the prompt; zero for a service.
     pub prefix: u64,
-    /// Method towards the backend server.
+    /// Method of the request to the backend server.
     pub method: http::Method,
-    /// Path and query towards the backend server.
+    /// Path and query of the request to the backend server.
     pub path: String,
-    /// Headers towards the backend server.
+    /// Headers of the request to the backend server.
     pub headers: http::HeaderMap,
-    /// The body.
+    /// Complete body.
     pub body: Bytes,
 }
 
-/// The part of a chat request that decides.
+/// Fields of a chat request that routing depends on.
 #[derive(Deserialize)]
 struct Chat {
     model: String,
@@ -83,11 +83,11 @@
     content: serde_json::Value,
 }
 
-/// Reads a request whole and checks it.
+/// Reads the complete request and validates it.
 ///
 /// # Errors
 ///
-/// The first [`Refusal`]; nothing was sent anywhere.
+/// Returns the first [`Refusal`] found. Nothing has been sent to any other process then.
 pub async fn read(
     id: uuid::Uuid,
     request: http::Request<hyper::body::Incoming>,
@@ -99,22 +99,22 @@
     let team = authenticate(&parts.headers, &bundle.content)?;
     let content = &bundle.content;
     let (target, path) = target(&parts)?;
-    let body = collect(body, max_body).await?;
+    let body = read_body(body, max_body).await?;
     let (pool, default_class, prefix) = match target {
         Target::Chat => {
             let chat: Chat =
                 serde_json::from_slice(&body).map_err(|error| Refusal::Json(error.to_string()))?;
             let model = content.model(&chat.model).ok_or(Refusal::Model(chat.model.clone()))?;
-            (&model.name, &model.class, prefix(&chat))
+            (&model.name, &model.class, hash_prefix(&chat))
         }
         Target::Service(name) => {
             let service = content.service(&name).ok_or(Refusal::Service(name))?;
             (&service.name, &service.class, 0)
         }
     };
-    let class = class(&parts.headers, content, default_class)?;
+    let class = select_class(&parts.headers, content, default_class)?;
     let budget = budget(&parts.headers, &class)?;
-    let key = text(&parts.headers, KEY_HEADER)?.map(home::key::Key::parse).transpose()?;
+    let key = header_text(&parts.headers, KEY_HEADER)?.map(home::key::Key::parse).transpose()?;
     Ok(Call {
         suspect: false,
         id,
@@ -126,16 +126,18 @@
         prefix,
         method: parts.method,
         path,
-        headers: forwarded(&parts.headers),
+        headers: forwarded_headers(&parts.headers),
         body,
     })
 }
 
+/// Kind of request, as its path gives it.
 enum Target {
     Chat,
     Service(String),
 }
 
+/// Returns the target, and the path and query to send to the backend server.
 fn target(parts: &http::request::Parts) -> Result<(Target, String), Refusal> {
     let path = parts.uri.path();
     if path == CHAT_PATH {
@@ -150,18 +152,19 @@
 
 fn check_headers(headers: &http::HeaderMap) -> Result<(), Refusal> {
     let size: usize = headers.iter().map(|(name, value)| name.as_str().len() + value.len()).sum();
-    if size > MAX_HEADERS { Err(Refusal::Headers(MAX_HEADERS)) } else { Ok(()) }
+    if size > MAX_HEADER_BYTES { Err(Refusal::Headers(MAX_HEADER_BYTES)) } else { Ok(()) }
 }
 
-async fn collect(mut body: hyper::body::Incoming, limit: usize) -> Result<Bytes, Refusal> {
+/// Reads the body, up to `limit` bytes.
+async fn read_body(mut body: hyper::body::Incoming, limit: usize) -> Result<Bytes, Refusal> {
     let mut whole = Vec::new();
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|_| Refusal::Truncated)?;
         let Ok(data) = frame.into_data() else { continue };
         if whole.len() + data.len() > limit {
             let rest = discard(&mut body, limit * DISCARD_FACTOR);
-            // Whoever sends more, or slower, is answered all the same.
-            tokio::time::timeout(DISCARD_TIME, rest).await.unwrap_or_default();
+            // A client that sends more, or more slowly, gets the same response.
+            tokio::time::timeout(DISCARD_TIMEOUT, rest).await.unwrap_or_default();
             return Err(Refusal::TooLarge(limit));
         }
         whole.extend_from_slice(&data);
@@ -169,10 +172,10 @@
     Ok(whole.into())
 }
 
-/// Reads on and keeps nothing: a connection that is closed while the caller
-/// still sends can lose the answer on its way.
-async fn discard(body: &mut hyper::body::Incoming, most: usize) {
-    let mut left = most;
+/// Reads and discards up to `limit` bytes of the body. A connection that is closed while the client
+/// is still sending can lose the response in transit.
+async fn discard(body: &mut hyper::body::Incoming, limit: usize) {
+    let mut left = limit;
     while let Some(Ok(frame)) = body.frame().await {
         let size = frame.data_ref().map_or(0, Bytes::len);
         left = left.saturating_sub(size);
@@ -182,13 +185,14 @@
     }
 }
 
-/// The team whose token the request bears. Every team is compared with, in
-/// constant time, so that the time tells nothing.
+/// Returns the team that the request's bearer token belongs to. The token is compared with those of
+/// all teams, each in constant time, so that the duration reveals nothing about the tokens.
 pub fn authenticate(
     headers: &http::HeaderMap,
     content: &content::Content,
 ) -> Result<Arc<str>, Refusal> {
-    let bearer = text(headers, "authorization")?.and_then(|text| text.strip_prefix("Bearer "));
+    let bearer =
+        header_text(headers, "authorization")?.and_then(|text| text.strip_prefix("Bearer "));
     let hash = hex::encode(sha2::Sha256::digest(bearer.ok_or(Refusal::Token)?.as_bytes()));
     let mut found = None;
     for team in &content.teams {
@@ -200,44 +204,50 @@
     found.ok_or(Refusal::Token)
 }
 
-fn text<'a>(headers: &'a http::HeaderMap, name: &'static str) -> Result<Option<&'a str>, Refusal> {
+/// Returns the value of a header as text, or `None` if the header is missing.
+fn header_text<'a>(
+    headers: &'a http::HeaderMap,
+    name: &'static str,
+) -> Result<Option<&'a str>, Refusal> {
     let Some(value) = headers.get(name) else { return Ok(None) };
     value.to_str().map(Some).map_err(|_| Refusal::Header(name))
 }
 
-fn class(
+/// Returns the class that the client asks for, or else the default.
+fn select_class(
     headers: &http::HeaderMap,
     content: &content::Content,
     default: &Arc<str>,
 ) -> Result<content::Class, Refusal> {
-    let name = text(headers, CLASS_HEADER)?.unwrap_or(default);
+    let name = header_text(headers, CLASS_HEADER)?.unwrap_or(default);
     content.class(name).cloned().ok_or(Refusal::Class(name.to_owned()))
 }
 
+/// Returns the time until the deadline, limited by the class.
 fn budget(headers: &http::HeaderMap, class: &content::Class) -> Result<Duration, Refusal> {
-    let longest = u64::from(class.deadline_ms);
-    let given = text(headers, DEADLINE_HEADER)?;
-    let millis: u64 = match given {
+    let max_ms = u64::from(class.deadline_ms);
+    let requested = header_text(headers, DEADLINE_HEADER)?;
+    let millis: u64 = match requested {
         Some(text) => text.parse().map_err(|_| Refusal::Header(DEADLINE_HEADER))?,
-        None => longest,
+        None => max_ms,
     };
     if millis == 0 {
         return Err(Refusal::Deadline);
     }
-    Ok(Duration::from_millis(millis.min(longest)))
+    Ok(Duration::from_millis(millis.min(max_ms)))
 }
 
-/// Hash of the beginning of the first message, where system prompts stand.
-fn prefix(chat: &Chat) -> u64 {
+/// Hashes the beginning of the first message, which contains the system prompt.
+fn hash_prefix(chat: &Chat) -> u64 {
     let Some(first) = chat.messages.first() else { return 0 };
     let text = first.content.to_string();
     let end = text.len().min(PREFIX_BYTES);
     xxh3::xxh3_64(&text.as_bytes()[..end])
 }
 
-/// Headers that go on to the backend server: neither credentials, which are
-/// between the caller and this process, nor those that belong to a connection.
-fn forwarded(headers: &http::HeaderMap) -> http::HeaderMap {
+/// Returns the headers to forward to the backend server. Credentials are not forwarded, as they are
+/// only meant for this process, nor are headers that concern the client's connection.
+fn forwarded_headers(headers: &http::HeaderMap) -> http::HeaderMap {
     const DROPPED: [&str; 9] = [
         "authorization",
         "connection",
@@ -254,13 +264,14 @@
 }
 
 impl Call {
-    /// What it is, whichever try of its caller.
+    /// Hashes the request into its identity, which is the same for all retries by its client.
     pub fn digest(&self) -> poison::Digest {
         let parts = [self.method.as_str(), &self.pool, &self.path, &self.team].map(str::as_bytes);
         poison::Digest::of(&[parts[0], parts[1], parts[2], parts[3], &self.body])
     }
 
-    /// Hash of what is asked, to tell one key's requests apart.
+    /// Hashes the content of the request. Different hashes under one idempotency key show that the
+    /// client has reused the key for another request.
     pub fn fingerprint(&self) -> u64 {
         let mut hasher = xxh3::Xxh3::new();
         let parts = [self.team.as_bytes(), self.pool.as_bytes(), self.path.as_bytes(), &self.body];
