--- a/daemon/src/entry/claim.rs
+++ b/daemon/src/entry/claim.rs
@@ -1,4 +1,7 @@
 //! Claims an idempotency key at its home, and settles the claim.
+//!
+//! The *home* of a key is the agent that grants the key. To *settle* a claim is to report the
+//! outcome of the request to the home.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,78 +13,81 @@
 use crate::entry::refusal::{Outcome, Refusal};
 use crate::{link, process};
 
-/// Longest wait for one answer of the home.
+/// Timeout of one call to the home.
 const TIMEOUT: Duration = Duration::from_millis(1_000);
-/// How often a claim is made; with the same token, so that a lost answer does no harm.
-const CLAIM_TRIES: u32 = 3;
-/// How often a settlement is sent. One that is lost leaves the key claimed,
-/// which callers see as `unknown`: safe, and less useful.
-const SETTLE_TRIES: u32 = 5;
-/// Pause between tries.
-const PAUSE: Duration = Duration::from_millis(150);
+/// Maximum number of times that a claim is sent. The token stays the same, so that a retry after a
+/// lost answer is harmless.
+const CLAIM_ATTEMPTS: u32 = 3;
+/// Maximum number of times that a settlement is sent. If none arrives, the key stays claimed and
+/// clients get the outcome `unknown`, which is safe but less useful.
+const SETTLE_ATTEMPTS: u32 = 5;
+/// Pause before a retry.
+const RETRY_PAUSE: Duration = Duration::from_millis(150);
 
-/// A claim that was granted.
+/// A claim of a key, which is settled at the latest when it is dropped.
 pub struct Claim {
     process: Arc<process::Process>,
     key: home::key::Key,
     token: u128,
-    open: bool,
-    /// What the home is told if nothing better is known when the claim is dropped.
+    /// Whether the claim must still be settled.
+    unsettled: bool,
+    /// Outcome that is reported if the claim is dropped without having been settled.
     fallback: Outcome,
 }
 
-/// Claims the key of the request.
+/// Claims the request's key at its home.
 ///
 /// # Errors
 ///
-/// A [`Refusal`]; this ask has not run, and the refusal says what is known of
-/// earlier ones.
+/// Returns a [`Refusal`] if the key is not granted. This request has not run then. The refusal
+/// states what is known of earlier requests under the same key.
 pub async fn acquire(
     process: &Arc<process::Process>,
     call: &call::Call,
     key: home::key::Key,
 ) -> Result<Claim, Refusal> {
-    // From here on the claim may stand at the home, so it must be settled.
+    // From here on the home may have granted the claim, so it must be settled.
     let token: u128 = rand::random();
     let mut claim =
-        Claim { process: process.clone(), key, token, open: true, fallback: Outcome::NotRun };
+        Claim { process: process.clone(), key, token, unsettled: true, fallback: Outcome::NotRun };
     let message = wire::Key {
         key: key.bytes().to_vec().into(),
         fingerprint: call.fingerprint(),
         token: token.to_be_bytes().to_vec().into(),
     };
     let mut last = Refusal::Home;
-    for attempt in 0..CLAIM_TRIES {
+    for attempt in 0..CLAIM_ATTEMPTS {
         if attempt > 0 {
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(RETRY_PAUSE).await;
         }
-        match ask(process, key, &message).await {
+        match send_claim(process, key, &message).await {
             Ok(home::keeper::Standing::Granted) => return Ok(claim),
-            // The table may just have changed.
+            // The slot may just have been assigned to another home, so the claim is retried.
             Ok(standing @ home::keeper::Standing::NotHome) => last = Refusal::Claim(standing),
             Ok(standing) => {
-                claim.open = false;
+                claim.unsettled = false;
                 return Err(Refusal::Claim(standing));
             }
-            Err(Unreached) => last = Refusal::Home,
+            Err(NoAnswer) => last = Refusal::Home,
         }
     }
-    // Dropping the claim gives it back, should it stand.
+    // Dropping the claim settles it as not run, in case that the home has granted it.
     Err(last)
 }
 
-/// The home gave no answer.
-struct Unreached;
+/// The home is unknown or has not answered.
+struct NoAnswer;
 
-async fn ask(
+/// Sends the claim to the home once, and returns its answer.
+async fn send_claim(
     process: &process::Process,
     key: home::key::Key,
     message: &wire::Key,
-) -> Result<home::keeper::Standing, Unreached> {
-    let link = home_of(process, key).ok_or(Unreached)?;
+) -> Result<home::keeper::Standing, NoAnswer> {
+    let link = link_to_home(process, key).ok_or(NoAnswer)?;
     let mut agent = link.agent.clone();
     let call = tokio::time::timeout(TIMEOUT, agent.claim(message.clone())).await;
-    let grant = call.map_err(|_| Unreached)?.map_err(|_| Unreached)?.into_inner();
+    let grant = call.map_err(|_| NoAnswer)?.map_err(|_| NoAnswer)?.into_inner();
     Ok(match grant.standing() {
         wire::Standing::Granted => home::keeper::Standing::Granted,
         wire::Standing::Claimed => home::keeper::Standing::Claimed,
@@ -94,7 +100,8 @@
     })
 }
 
-fn home_of(process: &process::Process, key: home::key::Key) -> Option<Arc<link::Link>> {
+/// Returns the connection to the key's home, or `None` if the home is not in the host list.
+fn link_to_home(process: &process::Process, key: home::key::Key) -> Option<Arc<link::Link>> {
     let homes = process.gossip.homes();
     let entry = homes.entry(key.slot(homes.slots.len()))?;
     let host = process.host(&entry.home.host)?;
@@ -102,23 +109,24 @@
 }
 
 impl Claim {
-    /// An attempt is about to leave: from here on the request may run.
+    /// Records that an attempt is about to be sent. From here on the request may run.
     pub fn mark_sent(&mut self) {
         self.fallback = Outcome::Unknown;
     }
 
-    /// The attempt surely never ran.
+    /// Records that the attempt certainly never ran.
     pub fn mark_not_run(&mut self) {
         self.fallback = Outcome::NotRun;
     }
 
-    /// Tells the home what became of the request.
+    /// Reports the outcome of the request to the home.
     pub fn settle(mut self, outcome: Outcome) {
-        self.send(outcome);
+        self.start_settlement(outcome);
     }
 
-    fn send(&mut self, outcome: Outcome) {
-        if !std::mem::replace(&mut self.open, false) {
+    /// Starts to send the settlement, unless the claim is settled already.
+    fn start_settlement(&mut self, outcome: Outcome) {
+        if !std::mem::replace(&mut self.unsettled, false) {
             return;
         }
         let outcome = match outcome {
@@ -131,27 +139,32 @@
             token: self.token.to_be_bytes().to_vec().into(),
             outcome: outcome.into(),
         };
-        tokio::spawn(settle(self.process.clone(), self.key, message));
+        tokio::spawn(send_settlement(self.process.clone(), self.key, message));
     }
 }
 
 impl Drop for Claim {
     fn drop(&mut self) {
-        // The caller left, or the claim was not granted in time.
-        self.send(self.fallback);
+        // The client disconnected, or the claim was not granted in time.
+        self.start_settlement(self.fallback);
     }
 }
 
-async fn settle(process: Arc<process::Process>, key: home::key::Key, message: wire::Settlement) {
-    for _ in 0..SETTLE_TRIES {
-        if let Some(link) = home_of(&process, key) {
+/// Sends the settlement to the home until it is acknowledged.
+async fn send_settlement(
+    process: Arc<process::Process>,
+    key: home::key::Key,
+    message: wire::Settlement,
+) {
+    for _ in 0..SETTLE_ATTEMPTS {
+        if let Some(link) = link_to_home(&process, key) {
             let mut agent = link.agent.clone();
             let call = tokio::time::timeout(TIMEOUT, agent.settle(message.clone())).await;
             if let Ok(Ok(_)) = call {
                 return;
             }
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(RETRY_PAUSE).await;
     }
-    log::warn!("settlement lost key={key}");
+    log::warn!("settlement not acknowledged key={key}");
 }
--- a/daemon/src/entry/dispatch.rs
+++ b/daemon/src/entry/dispatch.rs
@@ -1,4 +1,4 @@
-//! One attempt: sent to an agent, with its fate told apart when it fails.
+//! Sends one attempt to an agent, and determines whether it ran if it fails.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,24 +12,24 @@
 use crate::entry::{call, dispatcher};
 use crate::{link, process};
 
-/// Longest wait for an agent's word on what became of an attempt.
+/// Timeout of one call that revokes an attempt.
 const REVOKE_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// How often the agent is asked.
-const REVOKE_TRIES: u32 = 2;
+/// Maximum number of calls that revoke an attempt.
+const REVOKE_ATTEMPTS: u32 = 2;
 
-/// An attempt whose answer has begun.
+/// An answer whose head has been received and whose body is still arriving.
 pub struct Answer {
-    /// Status and headers.
+    /// Status and headers of the answer.
     pub head: wire::Head,
-    /// The rest.
+    /// Remaining frames.
     pub frames: Streaming<wire::Frame>,
-    /// The attempt, which every frame must echo.
+    /// Id of the attempt, which every frame must repeat.
     pub id: wire::AttemptId,
 }
 
 impl Answer {
-    /// What the backend server says of its own near future: as on the users'
-    /// machines, failures may ask for rest. That it leaves its agent tells.
+    /// Returns the rest that the answer asks for: a time without requests. As in the gateway, only
+    /// a failed answer can ask for one. Whether the server leaves is reported by its agent instead.
     pub fn notice(&self) -> notice::Notice {
         let status = u16::try_from(self.head.status).ok();
         let status = status.and_then(|status| http::StatusCode::from_u16(status).ok());
@@ -37,14 +37,14 @@
         notice::Notice { rest: rest.unwrap_or_default(), leaving: false }
     }
 
-    /// What it says of its rate limit.
+    /// Returns what the answer reports about the backend server's rate limit.
     pub fn limit(&self) -> limits::Notice {
         rate::read(&headers(&self.head))
     }
 }
 
-/// The headers of an answer; one that is not well formed is left out, as in the
-/// answer to the caller.
+/// Returns the headers of an answer. Malformed headers are omitted, as in the response to the
+/// client.
 fn headers(head: &wire::Head) -> http::HeaderMap {
     let read = |header: &wire::Header| {
         let name = http::HeaderName::from_bytes(header.name.as_bytes()).ok()?;
@@ -53,21 +53,21 @@
     head.headers.iter().filter_map(read).collect()
 }
 
-/// What an attempt came to.
+/// Result of sending an attempt.
 pub enum Response {
-    /// Its answer has begun.
+    /// The answer has begun.
     Answer(Box<Answer>),
-    /// It ended without one.
+    /// The attempt ended without an answer.
     Failure(Failure),
 }
 
-/// The end of an attempt whose answer has not begun.
+/// The end of an attempt without an answer.
 pub struct Failure {
-    /// How it ended.
+    /// How the attempt ended.
     pub end: balancer::End,
-    /// Why, for the log.
+    /// Cause, for the log.
     pub cause: String,
-    /// Load of the backend server, if the agent told it.
+    /// Load of the backend server, if the agent reported it.
     pub report: Option<wire::Report>,
 }
 
@@ -77,19 +77,19 @@
     }
 }
 
-/// An attempt about to be sent.
+/// An attempt that is about to be sent.
 pub struct Attempt<'a> {
-    /// What is asked.
+    /// Request that the attempt is for.
     pub call: &'a call::Call,
-    /// Number of the attempt.
+    /// Number of the attempt within the request.
     pub number: u32,
-    /// Where it goes.
+    /// Backend server that it is sent to.
     pub target: &'a dispatcher::Target,
-    /// The run of the agent that it is meant for.
+    /// Incarnation of the agent; another run of the agent rejects the attempt.
     pub incarnation: u64,
-    /// Time that is left.
+    /// Time until the request's deadline.
     pub remaining: Duration,
-    /// When it may not start any more.
+    /// Time after which the attempt must not start.
     pub expiry: clock::Wall,
 }
 
@@ -122,7 +122,7 @@
     }
 }
 
-/// Sends the attempt and waits for its first frame.
+/// Sends the attempt, and waits for its first frame or the deadline.
 pub async fn send(process: &process::Process, attempt: &Attempt<'_>) -> Response {
     process.metrics.attempts.inc();
     let mut agent = process.links.get(attempt.target.address).agent.clone();
@@ -133,49 +133,49 @@
     };
     let (frame, frames) = match tokio::time::timeout(attempt.remaining, first).await {
         Ok(Ok((Some(frame), frames))) => (frame, frames),
-        Ok(Ok((None, _))) => return settle(process, attempt, "stream ended").await,
+        Ok(Ok((None, _))) => return revoke(process, attempt, "stream ended").await,
         Ok(Err(status)) if link::never_sent(&status) => {
             return Response::failure(balancer::End::NeverRan, "not connected".to_owned());
         }
-        Ok(Err(status)) => return settle(process, attempt, status.message()).await,
-        Err(_) => return settle(process, attempt, "deadline").await,
+        Ok(Err(status)) => return revoke(process, attempt, status.message()).await,
+        Err(_) => return revoke(process, attempt, "deadline").await,
     };
     if frame.id.as_ref() != Some(&attempt.id()) {
         process.metrics.dropped_frames.inc();
-        return settle(process, attempt, "frame of another attempt").await;
+        return revoke(process, attempt, "frame of another attempt").await;
     }
     match frame.kind {
         Some(wire::frame::Kind::Head(head)) => {
             Response::Answer(Box::new(Answer { head, frames, id: attempt.id() }))
         }
-        Some(wire::frame::Kind::Refused(refused)) => refusal(refused),
+        Some(wire::frame::Kind::Refused(refused)) => rejected(refused),
         Some(wire::frame::Kind::Broken(broken)) => {
             let subject = Subject::new(attempt.call, attempt.target.host.clone());
             let end = subject.record_end(process, &attempt.id(), &broken, false);
             Response::failure(end, broken.reason)
         }
-        _ => settle(process, attempt, "answer without a head").await,
+        _ => revoke(process, attempt, "answer without a head").await,
     }
 }
 
-/// A request, and the host of the backend server that runs it.
+/// A request on a backend server, to which the end of the server may be attributed.
 pub struct Subject {
-    /// What it is, whichever try of its caller.
+    /// Identity of the request, which is the same for all retries by its client.
     pub digest: poison::Digest,
-    /// Whether it was the only suspect that this process had sent there.
+    /// Whether the request was the only suspect that this process had sent to the server.
     pub alone: bool,
-    /// Id of the host.
+    /// Id of the backend server's host.
     pub host: Arc<str>,
 }
 
 impl Subject {
-    /// A request on the backend server of that host.
+    /// Creates the subject for a request on the backend server of `host`.
     pub fn new(call: &call::Call, host: Arc<str>) -> Subject {
         Subject { digest: call.digest(), alone: call.suspect, host }
     }
 
-    /// How an attempt ended that broke off. A backend server that ended is
-    /// counted for the request.
+    /// Returns how a broken-off attempt ended. If the backend server has ended, the end is recorded
+    /// against the request.
     pub fn record_end(
         &self,
         process: &process::Process,
@@ -186,14 +186,16 @@
         let Some(number) = broken.server_end else {
             return balancer::End::MayHaveRun { answer_begun };
         };
-        // Each run of the agent counts from its own start.
+        // Each run of the agent numbers its server's ends from its own start, so the sum of the
+        // incarnation and the number identifies the server's run.
         let run = fleet::Run { id: self.host.clone(), born: Some(id.incarnation + number) };
         process.ends.record_end(&run, self.digest, self.alone);
         balancer::End::ServerEnded
     }
 }
 
-fn refusal(refused: wire::Refused) -> Response {
+/// Returns the result of an attempt that the agent rejected.
+fn rejected(refused: wire::Refused) -> Response {
     let end = match refused.reason() {
         wire::Refusal::Full => balancer::End::Full,
         _ => balancer::End::NeverRan,
@@ -202,10 +204,10 @@
     Response::Failure(Failure { end, cause, report: refused.report })
 }
 
-/// Asks the agent what became of the attempt, and forbids it to start.
-async fn settle(process: &process::Process, attempt: &Attempt<'_>, cause: &str) -> Response {
+/// Revokes the attempt, so that it cannot start any more, and returns whether it ran.
+async fn revoke(process: &process::Process, attempt: &Attempt<'_>, cause: &str) -> Response {
     let mut phase = wire::Phase::Unknown;
-    for _ in 0..REVOKE_TRIES {
+    for _ in 0..REVOKE_ATTEMPTS {
         let mut agent = process.links.get(attempt.target.address).agent.clone();
         let revocation =
             wire::Revocation { id: Some(attempt.id()), expiry_ms: attempt.expiry.millis() };
