--- a/daemon/src/entry/dispatcher.rs
+++ b/daemon/src/entry/dispatcher.rs
@@ -1,4 +1,4 @@
-//! The entry host's decisions behind one lock, and the requests that wait for them.
+//! Shares the balancer between the requests of an entry host, and delivers its actions to them.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,33 +16,33 @@
 
 use crate::{clock, status};
 
-/// Candidates looked at by one choice; see `docs/design/routing.md`.
-const SAMPLE: usize = 2;
-/// How much more load the prefix cache's backend server may have.
+/// Number of sampled candidates per choice; see `docs/design/routing.md`.
+const SAMPLE_SIZE: usize = 2;
+/// Additional load connected to which the backend server with the prefix cache is preferred.
 const AFFINITY_SLACK: f64 = 0.5;
-/// Time between two looks for requests that are late.
-const TICK: Duration = Duration::from_millis(20);
+/// Interval at which the balancer rejects waiting requests that can no longer meet their deadline.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A backend server as the entry host reaches it.
+/// Address and identity of a backend server.
 #[derive(Debug, Clone)]
 pub struct Target {
-    /// Id of its host.
+    /// Id of the server's host.
     pub host: Arc<str>,
     /// Availability zone.
     pub zone: Arc<str>,
-    /// Address of its agent.
+    /// Address of the server's agent.
     pub address: SocketAddr,
-    /// Service or rank group.
+    /// Service or rank group that the server belongs to.
     pub backend: Arc<str>,
-    /// Rank in the group.
+    /// Rank in the group; none for a plain service.
     pub rank: Option<u32>,
 }
 
-/// The dispatcher.
+/// The balancer behind a lock, with the requests that it decides on.
 pub struct Dispatcher {
     clock: clock::Clock,
-    /// Told when a request begins to wait.
-    waited: Notify,
+    /// Notified when requests wait in the queue.
+    queued: Notify,
     inner: Mutex<Inner>,
 }
 
@@ -52,35 +52,36 @@
     teams: name::Table<entity::Team>,
     limits: BTreeMap<entity::Team, u32>,
     targets: BTreeMap<entity::Server, Target>,
-    /// Epoch of the newest report of each, with the report's order.
+    /// Incarnation, sequence number and epoch of each backend server's newest report. The first two
+    /// order the reports.
     epochs: BTreeMap<entity::Server, (u64, u64, u64)>,
     permits: BTreeMap<entity::Ticket, mpsc::UnboundedSender<balancer::Action>>,
 }
 
-/// What arrives at the dispatcher.
+/// A request that arrives at the dispatcher.
 #[derive(Debug, Clone)]
 pub struct Arrival {
-    /// Model or service.
+    /// Pool of backend servers, named after the model or service.
     pub pool: Arc<str>,
-    /// Team.
+    /// Team that sent the request.
     pub team: Arc<str>,
-    /// Precedence of the class.
+    /// Precedence of the request's class.
     pub precedence: u32,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// Time that is left.
+    /// Time until the deadline.
     pub budget: Duration,
-    /// Hash of the prompt's beginning.
+    /// Hash of the beginning of the prompt.
     pub prefix: u64,
-    /// What it is, if it may have ended a backend server.
+    /// Identity of the request, if it is suspected of having ended a backend server.
     pub suspect: Option<poison::Digest>,
 }
 
 impl Dispatcher {
-    /// A dispatcher without backend servers.
+    /// Creates a dispatcher without backend servers.
     pub fn new(settings: &file::Entry, clock: clock::Clock) -> Dispatcher {
         let rng = rand_chacha::ChaCha8Rng::seed_from_u64(rand::random());
-        let policy = policy::Blend { rng, sample: SAMPLE, affinity_slack: AFFINITY_SLACK };
+        let policy = policy::Blend { rng, sample: SAMPLE_SIZE, affinity_slack: AFFINITY_SLACK };
         let options = balancer::Options::default()
             .capacity(settings.max_waiting)
             .retry_ratio(settings.retry_ratio);
@@ -94,14 +95,14 @@
             epochs: BTreeMap::new(),
             permits: BTreeMap::new(),
         };
-        Dispatcher { clock, waited: Notify::new(), inner: Mutex::new(inner) }
+        Dispatcher { clock, queued: Notify::new(), inner: Mutex::new(inner) }
     }
 
     fn lock(&self) -> MutexGuard<'_, Inner> {
         self.inner.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
-    /// Takes the bundle in force and the host list.
+    /// Applies the bundle in force and the host list. `own` is this entry host.
     pub fn refresh(&self, content: &content::Content, list: &hosts::Snapshot, own: &rate::Peer) {
         let now = self.clock.now();
         let mut inner = self.lock();
@@ -149,17 +150,18 @@
                 inner.targets.insert(server, target);
             }
         }
-        inner.route(actions);
+        inner.deliver(actions);
     }
 
-    /// Backend servers that the host list has.
+    /// Returns the backend servers in the host list.
     pub fn listed(&self) -> Vec<(entity::Server, Target)> {
         let inner = self.lock();
         let listed = inner.balancer.servers().iter().filter(|(_, record)| record.listed);
         listed.filter_map(|(id, _)| Some((id, inner.targets.get(&id)?.clone()))).collect()
     }
 
-    /// The ranks of a group that report, with their servers and last reported epochs.
+    /// Returns the ranks of a group that are in the host list, each with the epoch of its newest
+    /// report, or zero if it has not reported.
     pub fn ranks(&self, group: &str) -> Vec<(Target, u64)> {
         let inner = self.lock();
         let member = |id: &entity::Server, target: &Target| {
@@ -171,19 +173,19 @@
         members.map(|(id, target)| (target.clone(), epoch(id))).collect()
     }
 
-    /// An agent reported, on its own or with the end of an attempt.
+    /// Applies an agent's report, which arrived on its report stream or with the end of an attempt.
     pub fn report(&self, server: entity::Server, report: &wire::Report) {
         let now = self.clock.now();
         let mut inner = self.lock();
         let epoch = (report.incarnation, report.sequence, report.epoch);
         let newest = inner.epochs.entry(server).or_default();
         *newest = epoch.max(*newest);
-        let actions = inner.balancer.report(server, read(report), now);
-        inner.route(actions);
+        let actions = inner.balancer.report(server, convert_report(report), now);
+        inner.deliver(actions);
     }
 
-    /// An answer said something of its backend server's near future. Returns
-    /// what has changed by it.
+    /// Applies what an answer announced about its backend server leaving or resting. Returns the
+    /// change that it caused.
     pub fn apply_notice(
         &self,
         server: entity::Server,
@@ -192,34 +194,34 @@
         let now = self.clock.now();
         let mut inner = self.lock();
         let (change, actions) = inner.balancer.apply_notice(server, notice, now);
-        inner.route(actions);
+        inner.deliver(actions);
         change
     }
 
-    /// The answer to a request that was chosen for a backend server at `chosen` said
-    /// something of the server's rate limit. Returns what has changed by it.
+    /// Applies what an answer reported about its backend server's rate limit. `selected_at` is when
+    /// the server was selected for the request. Returns the change that the report caused.
     pub fn apply_limit(
         &self,
         server: entity::Server,
         notice: rate::Notice,
-        chosen: loftcove_decision::clock::Instant,
+        selected_at: loftcove_decision::clock::Instant,
     ) -> Option<rate::Change> {
         let now = self.clock.now();
         let mut inner = self.lock();
-        let (change, actions) = inner.balancer.apply_rate_notice(server, notice, chosen, now);
-        inner.route(actions);
+        let (change, actions) = inner.balancer.apply_rate_notice(server, notice, selected_at, now);
+        inner.deliver(actions);
         change
     }
 
-    /// An agent's report stream opened or closed.
-    pub fn set_connected(&self, server: entity::Server, up: bool) {
+    /// Records that an agent's report stream has opened or closed.
+    pub fn set_connected(&self, server: entity::Server, connected: bool) {
         let now = self.clock.now();
         let mut inner = self.lock();
-        let actions = inner.balancer.set_connected(server, up, now);
-        inner.route(actions);
+        let actions = inner.balancer.set_connected(server, connected, now);
+        inner.deliver(actions);
     }
 
-    /// A request arrives; the permit tells what to do with it.
+    /// Queues a request. The permit returns the actions that the balancer decides on.
     pub fn arrive(self: &Arc<Dispatcher>, arrival: &Arrival) -> Permit {
         let now = self.clock.now();
         let (sender, receiver) = mpsc::unbounded_channel();
@@ -239,16 +241,16 @@
         };
         let (ticket, actions) = inner.balancer.arrive(arrival, now);
         inner.permits.insert(ticket, sender);
-        inner.route(actions);
+        inner.deliver(actions);
         let waiting = inner.balancer.queue().waiting() > 0;
         drop(inner);
         if waiting {
-            self.waited.notify_one();
+            self.queued.notify_one();
         }
         Permit { dispatcher: self.clone(), ticket, receiver, open: true }
     }
 
-    /// Where a backend server is reached, and the run of its agent.
+    /// Returns a backend server's target, and the incarnation of its agent.
     pub fn target(&self, server: entity::Server) -> Option<(Target, u64)> {
         let inner = self.lock();
         let target = inner.targets.get(&server)?.clone();
@@ -256,7 +258,7 @@
         Some((target, incarnation))
     }
 
-    /// Backend servers as the status shows them.
+    /// Returns the listed backend servers for the status.
     pub fn servers(&self) -> Vec<status::Server> {
         let now = self.clock.now();
         let inner = self.lock();
@@ -264,14 +266,14 @@
         listed
             .map(|(_, record)| status::Server {
                 host: record.listing.host.to_string(),
-                state: state(record, now),
+                state: state_name(record, now),
                 in_flight: record.in_flight,
                 window: record.window.size(),
             })
             .collect()
     }
 
-    /// Teams as the status shows them.
+    /// Returns the teams with requests for the status.
     pub fn teams(&self) -> Vec<status::Team> {
         let inner = self.lock();
         let held = |team: &entity::Team| inner.balancer.queue().team_requests(*team);
@@ -284,19 +286,19 @@
         .collect()
     }
 
-    /// Moves the machine on; returns how many wait.
+    /// Advances the balancer's time. Returns the number of waiting requests.
     fn tick(&self) -> usize {
         let now = self.clock.now();
         let mut inner = self.lock();
         let actions = inner.balancer.tick(now);
-        inner.route(actions);
+        inner.deliver(actions);
         debug_assert_eq!(inner.balancer.verify(), Ok(()));
         inner.balancer.queue().waiting()
     }
 }
 
-/// The wire's report as the decisions take it.
-fn read(report: &wire::Report) -> server::Report {
+/// Converts a report from the wire for the balancer.
+fn convert_report(report: &wire::Report) -> server::Report {
     server::Report {
         incarnation: report.incarnation,
         sequence: report.sequence,
@@ -308,7 +310,8 @@
     }
 }
 
-fn state(record: &server::Record, now: loftcove_decision::clock::Instant) -> &'static str {
+/// Returns the name of a backend server's state in the status.
+fn state_name(record: &server::Record, now: loftcove_decision::clock::Instant) -> &'static str {
     match () {
         _ if record.leaving() => "leaving",
         _ if !record.usable() => "down",
@@ -319,8 +322,8 @@
 }
 
 impl Inner {
-    /// Hands each action to the request that it is about.
-    fn route(&mut self, actions: Vec<balancer::Action>) {
+    /// Sends each action to the permit of its request, and logs the balancer's notes.
+    fn deliver(&mut self, actions: Vec<balancer::Action>) {
         for note in self.balancer.take_notes() {
             if let balancer::Note::Rested(server, time) = note {
                 let host = &self.balancer.servers()[server].listing.host;
@@ -332,7 +335,7 @@
                 balancer::Action::Send(dispatch) => dispatch.ticket,
                 balancer::Action::Refuse(refusal) => refusal.ticket,
             };
-            // A permit that was given up has left word with the balancer itself.
+            // If the permit was dropped, it has already reported that to the balancer.
             if let Some(permit) = self.permits.get(&ticket) {
                 permit.send(action).unwrap_or_default();
             }
@@ -340,7 +343,8 @@
     }
 }
 
-/// A request's place at the dispatcher; dropping it means that the caller left.
+/// Registration of a request at the dispatcher. Dropping it reports that the client disconnected,
+/// unless the request has ended.
 pub struct Permit {
     dispatcher: Arc<Dispatcher>,
     ticket: entity::Ticket,
@@ -349,18 +353,19 @@
 }
 
 impl Permit {
-    /// What to do next with the request.
+    /// Waits for the balancer's next action for the request.
     pub async fn next(&mut self) -> Option<balancer::Action> {
         self.receiver.recv().await
     }
 
-    /// The first part of the attempt's answer came after that time.
+    /// Records that the attempt's answer began after the given time.
     pub fn begin(&self, after: Duration) {
         let now = self.dispatcher.clock.now();
         self.dispatcher.lock().balancer.begin(self.ticket, after, now);
     }
 
-    /// The attempt ended; unless it was answered, [`Permit::next`] tells what follows.
+    /// Records how the attempt ended. Unless the request was answered or abandoned,
+    /// [`Permit::next`] returns what follows.
     pub fn end(&mut self, end: balancer::End) {
         if matches!(end, balancer::End::Answered | balancer::End::Abandoned) {
             self.open = false;
@@ -368,9 +373,9 @@
         let now = self.dispatcher.clock.now();
         let mut inner = self.dispatcher.lock();
         let actions = inner.balancer.end(self.ticket, end, now);
-        inner.route(actions);
+        inner.deliver(actions);
         if inner.balancer.queue().waiting() > 0 {
-            self.dispatcher.waited.notify_one();
+            self.dispatcher.queued.notify_one();
         }
     }
 }
@@ -384,12 +389,12 @@
     }
 }
 
-/// Answers requests that are late, until the process ends; sleeps while nobody waits.
+/// Ticks the balancer until the process exits. Sleeps while no request waits.
 pub async fn tick(dispatcher: Arc<Dispatcher>) {
     loop {
         if dispatcher.tick() == 0 {
-            dispatcher.waited.notified().await;
+            dispatcher.queued.notified().await;
         }
-        tokio::time::sleep(TICK).await;
+        tokio::time::sleep(TICK_INTERVAL).await;
     }
 }
--- a/daemon/src/entry/drive.rs
+++ b/daemon/src/entry/drive.rs
@@ -1,4 +1,9 @@
 //! Drives the expert maps of the groups in this availability zone.
+//!
+//! The *driver* of a group is the entry host that changes the group's expert map. It decides on a
+//! new map by the load of the experts, and brings the ranks to the map in force. One entry host in
+//! the zone is elected for each group. Each change is fenced by the revision of the group's record,
+//! so two drivers at a time are safe.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -18,32 +23,34 @@
 use crate::entry::{Entry, dispatcher};
 use crate::{clock, leader, status};
 
-/// Time between two looks at the groups.
-const PAUSE: Duration = Duration::from_secs(1);
-/// Longest wait for a rank to prepare; its agent gives up a little before.
+/// Mean interval between two checks of the groups.
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
+/// Timeout of a rank's preparation. The rank's agent times out slightly earlier.
 const PREPARE_TIMEOUT: Duration = Duration::from_secs(22);
-/// Longest wait for a rank's counts or for rank 0 to go over.
-const SHORT_TIMEOUT: Duration = Duration::from_secs(3);
+/// Timeout of a call for a rank's counts, or of the activation, which rank 0 carries out.
+const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The groups that this process drives.
+/// Groups that this process drives.
 #[derive(Default)]
 pub struct Groups {
     inner: Mutex<BTreeMap<Arc<str>, Group>>,
 }
 
-/// What is kept about a group between two looks.
+/// State of a group that is kept between two checks.
 struct Group {
     policy: policy::Incremental,
-    decided: Option<boot::Instant>,
-    /// The record and its revision as last read or written.
+    /// Time of the last decision about the map.
+    last_decision: Option<boot::Instant>,
+    /// Record and its revision, as last read or written.
     record: Option<(store::Revision, record::Record)>,
+    /// Skew of the map at the last decision; 1 is perfect balance.
     skew: Option<f64>,
 }
 
 impl Default for Group {
     fn default() -> Group {
         let policy = policy::Incremental::new(policy::Rules::default());
-        Group { policy, decided: None, record: None, skew: None }
+        Group { policy, last_decision: None, record: None, skew: None }
     }
 }
 
@@ -52,7 +59,7 @@
         self.inner.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
-    /// Groups as the status shows them.
+    /// Returns the groups for the status.
     pub fn status(&self) -> Vec<status::Group> {
         let groups = self.lock();
         let epoch = |group: &Group| group.record.as_ref().map_or(0, |r| r.1.active_epoch().0);
@@ -67,20 +74,20 @@
     }
 }
 
-/// Runs until the process ends.
+/// Checks all groups periodically until the process exits.
 pub async fn run(entry: Arc<Entry>) {
     loop {
-        tokio::time::sleep(clock::jitter(PAUSE, 0.9..1.1)).await;
+        tokio::time::sleep(clock::jitter(CHECK_INTERVAL, 0.9..1.1)).await;
         let Some(bundle) = entry.process.gossip.force.bundle() else { continue };
         for model in &bundle.content.models {
             for name in &model.groups {
-                look(&entry, &bundle.content, model, name).await;
+                check_group(&entry, &bundle.content, model, name).await;
             }
         }
     }
 }
 
-/// One group at one look.
+/// One group during one check.
 struct Context<'a> {
     entry: &'a Arc<Entry>,
     rules: &'a content::Placement,
@@ -90,7 +97,8 @@
     ranks: Vec<dispatcher::Target>,
 }
 
-async fn look(
+/// Updates the group if its ranks are complete and this process is elected as its driver.
+async fn check_group(
     entry: &Arc<Entry>,
     content: &content::Content,
     model: &content::Model,
@@ -116,34 +124,37 @@
     let epochs: Vec<u64> = members.iter().map(|(_, epoch)| *epoch).collect();
     let ranks = members.into_iter().map(|(target, _)| target).collect();
     let context = Context { entry, rules: &content.placement, name, shape, ranks };
-    context.tend(&epochs).await;
+    context.update(&epochs).await;
 }
 
 impl Context<'_> {
-    async fn tend(&self, epochs: &[u64]) {
+    /// Reconciles the ranks with the map in force, and decides on a new map when one is due.
+    async fn update(&self, epochs: &[u64]) {
         let (due, known) = {
             let mut groups = self.entry.groups.lock();
             let group = groups.entry(self.name.clone()).or_default();
-            let due = group.decided.is_none_or(|at| at.elapsed() >= self.interval());
+            let due = group.last_decision.is_none_or(|at| at.elapsed() >= self.interval());
             (due, group.record.clone())
         };
         let active = known.as_ref().map_or(0, |(_, record)| record.active_epoch().0);
-        // Reading costs the platform a call, so it is done only when needed.
+        // A read costs a call to the platform, so it is skipped unless it is needed.
         if !due && known.is_some() && epochs.iter().all(|epoch| *epoch == active) {
             return;
         }
-        let Some((revision, record)) = self.read().await else { return };
+        let Some((revision, record)) = self.read_record().await else { return };
         self.with_group(|group| group.record = Some((revision, record.clone())));
         self.reconcile(&record, revision, epochs).await;
-        // An engine keeps the active map and the newest: the next one is
-        // proposed only when no rank needs the one between.
+        // An engine keeps only the active map and the newest one. So the next map is proposed only
+        // when no rank needs a map between these.
         let settled = epochs.iter().all(|epoch| *epoch == record.active_epoch().0);
         if due && settled {
-            self.with_group(|group| group.decided = Some(boot::Instant::now()));
+            self.with_group(|group| group.last_decision = Some(boot::Instant::now()));
             self.decide(record, revision).await;
         }
     }
 
+    /// Returns the interval between two decisions: that of the bundle, which this host's settings
+    /// can only shorten.
     fn interval(&self) -> Duration {
         let own = self.entry.process.settings.entry.as_ref().map_or(0, |own| own.rebalance_s);
         let bundle = u64::from(self.rules.interval_s);
@@ -159,16 +170,17 @@
         key::map(&self.entry.process.settings.process.deployment, self.name)
     }
 
-    async fn read(&self) -> Option<(store::Revision, record::Record)> {
+    /// Reads the group's record from the platform; an empty one if it does not exist.
+    async fn read_record(&self) -> Option<(store::Revision, record::Record)> {
         let entry = self.entry.process.platform.get(&self.key()).await.ok()?;
         let Some(entry) = entry else { return Some((0, record::Record::default())) };
         let record = serde_json::from_slice(&entry.value).ok()?;
         Some((entry.revision, record))
     }
 
-    /// Brings ranks that step on another map, as after a restart, to the one in
-    /// force. A change that another driver has under way is given up first:
-    /// preparing the map in force again could displace what it prepared.
+    /// Switches ranks that use another map, for example after a restart, to the map in force. A
+    /// change that is in progress is aborted first, even another driver's: preparing the map in
+    /// force again could displace the map that the change has prepared.
     async fn reconcile(
         &self,
         record: &record::Record,
@@ -181,29 +193,30 @@
             return;
         }
         if record.next.is_some() {
-            let given_up = self.write(record.abandon(nonce()), &mut revision).await;
-            if !matches!(given_up, change::Event::Written(_)) {
+            let aborted = self.write_record(record.abandon(nonce()), &mut revision).await;
+            if !matches!(aborted, change::Event::Written(_)) {
                 return;
             }
         }
         let fence = gate::Fence(revision);
         for (rank, epoch) in epochs.iter().enumerate() {
             if *epoch != map.epoch.0 {
-                self.order(rank, wire::Action::Prepare, map, fence).await;
+                self.send_order(rank, wire::Action::Prepare, map, fence).await;
             }
         }
-        self.order(0, wire::Action::Activate, map, fence).await;
+        self.send_order(0, wire::Action::Activate, map, fence).await;
     }
 
+    /// Decides on a new map by the load of the experts, and changes the map if that pays.
     async fn decide(&self, record: record::Record, revision: store::Revision) {
         let usable = record.active.as_ref().filter(|map| map.layout.shape == self.shape);
         let Some(current) = usable.map(|map| map.layout.clone()) else {
-            self.note("reason=first-map");
-            self.change(record, revision, layout::Layout::round_robin(self.shape)).await;
+            self.record_decision("reason=first-map");
+            self.change_map(record, revision, layout::Layout::round_robin(self.shape)).await;
             return;
         };
-        let Some(load) = self.collect().await else {
-            self.note("choice=stay reason=counts-missing");
+        let Some(load) = self.collect_load().await else {
+            self.record_decision("choice=stay reason=counts-missing");
             return;
         };
         let health = cost::Health::healthy(self.shape.ranks);
@@ -217,17 +230,19 @@
         };
         let next = self.choose(rules, load.clone(), current.clone(), skew).await;
         let Some(next) = next else {
-            self.note(&format!("skew={skew:.3} choice=stay reason=nothing-pays"));
+            self.record_decision(&format!("skew={skew:.3} choice=stay reason=nothing-pays"));
             return;
         };
         let after = cost::skew(&next, &load, &health);
         let loads = next.loads_from(&current);
-        self.note(&format!("skew={skew:.3} predicted={after:.3} loads={loads} choice=move"));
-        self.change(record, revision, next).await;
+        self.record_decision(&format!(
+            "skew={skew:.3} predicted={after:.3} loads={loads} choice=move"
+        ));
+        self.change_map(record, revision, next).await;
     }
 
-    /// Asks the policy, on a thread of its own: at the size of the target it
-    /// takes longer than a token may wait.
+    /// Runs the policy on a blocking thread. At the target size it takes longer than a token may be
+    /// delayed.
     async fn choose(
         &self,
         rules: policy::Rules,
@@ -242,34 +257,35 @@
             let group = groups.entry(name).or_default();
             group.skew = Some(skew);
             group.policy.set_rules(rules);
-            let seen = policy::Observation { load: &load, health: &health };
-            group.policy.decide(seen, &current)
+            let observation = policy::Observation { load: &load, health: &health };
+            group.policy.decide(observation, &current)
         });
-        // A decision that panicked is no decision.
+        // If the policy panics, the map stays.
         decision.await.unwrap_or(None)
     }
 
-    fn note(&self, text: &str) {
+    fn record_decision(&self, text: &str) {
         self.entry.process.history.record(self.name, text.to_owned());
     }
 
-    /// The tokens of all experts, from all ranks; none unless all answered.
-    async fn collect(&self) -> Option<load::Load> {
+    /// Collects the token counts of all experts from all ranks. Returns `None` unless all ranks
+    /// answered.
+    async fn collect_load(&self) -> Option<load::Load> {
         let calls = self.ranks.iter().map(|target| async {
             let mut agent = self.entry.process.links.get(target.address).agent.clone();
-            let call = tokio::time::timeout(SHORT_TIMEOUT, agent.popularity(wire::Ask {})).await;
+            let call = tokio::time::timeout(CALL_TIMEOUT, agent.popularity(wire::Ask {})).await;
             Some(call.ok()?.ok()?.into_inner())
         });
         let answers = futures_util::future::join_all(calls).await;
         let mut load = load::Load::new(self.shape.layers as usize, self.shape.experts as usize);
         for counts in answers {
-            add(&mut load, &counts?, self.shape);
+            add_counts(&mut load, &counts?, self.shape);
         }
         Some(load)
     }
 
-    /// Takes the group to another map.
-    async fn change(
+    /// Changes the group's map.
+    async fn change_map(
         &self,
         record: record::Record,
         revision: store::Revision,
@@ -288,21 +304,25 @@
         if matches!(end, Some(change::End::Done | change::End::Unconfirmed)) {
             self.entry.process.metrics.map_changes.inc();
         }
-        self.note(&format!("change={end:?} revision={revision}"));
+        self.record_decision(&format!("change={end:?} revision={revision}"));
     }
 
+    /// Executes a command of the driver's state machine, and returns the resulting events.
     async fn execute(
         &self,
         command: change::Command,
         revision: &mut store::Revision,
     ) -> Vec<change::Event> {
         match command {
-            change::Command::Write(record) => vec![self.write(record, revision).await],
+            change::Command::Write(record) => vec![self.write_record(record, revision).await],
             change::Command::Prepare(map, fence) => {
-                let orders = (0..self.ranks.len()).map(|rank| {
-                    let map = &map;
-                    async move { (rank, self.order(rank, wire::Action::Prepare, map, fence).await) }
-                });
+                let orders =
+                    (0..self.ranks.len()).map(|rank| {
+                        let map = &map;
+                        async move {
+                            (rank, self.send_order(rank, wire::Action::Prepare, map, fence).await)
+                        }
+                    });
                 let done = futures_util::future::join_all(orders).await;
                 let event = |(rank, done): (usize, bool)| match done {
                     true => change::Event::Prepared(rank as u32),
@@ -311,7 +331,7 @@
                 done.into_iter().map(event).collect()
             }
             change::Command::Activate(map, fence) => {
-                match self.order(0, wire::Action::Activate, &map, fence).await {
+                match self.send_order(0, wire::Action::Activate, &map, fence).await {
                     true => vec![change::Event::Activated],
                     false => vec![change::Event::Failed(0)],
                 }
@@ -319,7 +339,12 @@
         }
     }
 
-    async fn write(&self, record: record::Record, revision: &mut store::Revision) -> change::Event {
+    /// Writes the group's record if its revision is still `revision`, which is updated.
+    async fn write_record(
+        &self,
+        record: record::Record,
+        revision: &mut store::Revision,
+    ) -> change::Event {
         let value: Bytes = serde_json::to_vec(&record).unwrap_or_default().into();
         let platform = &self.entry.process.platform;
         match store::swap_confirmed(platform, &self.key(), *revision, value).await {
@@ -334,16 +359,17 @@
         }
     }
 
-    /// Sends an order to a rank; returns whether it was carried out.
-    async fn order(
+    /// Sends an order to a rank. Returns whether the rank confirmed that it was carried out.
+    async fn send_order(
         &self,
         rank: usize,
         action: wire::Action,
         map: &record::Map,
         fence: gate::Fence,
     ) -> bool {
-        let with_map = action == wire::Action::Prepare;
-        let text = if with_map { serde_json::to_vec(map).unwrap_or_default() } else { Vec::new() };
+        let carries_map = action == wire::Action::Prepare;
+        let text =
+            if carries_map { serde_json::to_vec(map).unwrap_or_default() } else { Vec::new() };
         let order = wire::Order {
             group: self.name.to_string(),
             action: action.into(),
@@ -352,7 +378,7 @@
             digest: map.layout.digest(),
             map: text.into(),
         };
-        let limit = if with_map { PREPARE_TIMEOUT } else { SHORT_TIMEOUT };
+        let limit = if carries_map { PREPARE_TIMEOUT } else { CALL_TIMEOUT };
         let mut agent = self.entry.process.links.get(self.ranks[rank].address).agent.clone();
         let answer = tokio::time::timeout(limit, agent.command(order)).await;
         let verdict = answer.ok().and_then(Result::ok).map(|answer| answer.into_inner().ruling());
@@ -360,13 +386,14 @@
     }
 }
 
-/// Marks one write, so that it can be found again if its answer is lost.
+/// Returns a value that identifies one write, so that the write is recognized if its answer is
+/// lost.
 fn nonce() -> String {
     format!("{:032x}", rand::random::<u128>())
 }
 
-/// Adds one rank's counts; what names an unknown layer or expert is left out.
-fn add(load: &mut load::Load, counts: &wire::Counts, shape: layout::Shape) {
+/// Adds one rank's counts. Counts of unknown layers or experts are ignored.
+fn add_counts(load: &mut load::Load, counts: &wire::Counts, shape: layout::Shape) {
     for (layer, row) in counts.layers.iter().enumerate().take(shape.layers as usize) {
         let tokens = load.layer_mut(entity::Layer::from_u32(layer as u32));
         for (expert, count) in row.experts.iter().zip(&row.tokens) {
