--- a/daemon/src/entry/call.rs
+++ b/daemon/src/entry/call.rs
@@ -162,9 +162,9 @@
         let frame = frame.map_err(|_| Refusal::Truncated)?;
         let Ok(data) = frame.into_data() else { continue };
         if whole.len() + data.len() > limit {
-            let rest = discard(&mut body, limit * DISCARD_FACTOR);
+            let discarding = discard(&mut body, limit * DISCARD_FACTOR);
             // A client that sends more, or more slowly, gets the same response.
-            tokio::time::timeout(DISCARD_TIMEOUT, rest).await.unwrap_or_default();
+            tokio::time::timeout(DISCARD_TIMEOUT, discarding).await.unwrap_or_default();
             return Err(Refusal::TooLarge(limit));
         }
         whole.extend_from_slice(&data);
--- a/daemon/src/entry/dispatcher.rs
+++ b/daemon/src/entry/dispatcher.rs
@@ -18,7 +18,8 @@
 
 /// Number of sampled candidates per choice; see `docs/design/routing.md`.
 const SAMPLE_SIZE: usize = 2;
-/// Additional load connected to which the backend server with the prefix cache is preferred.
+/// Maximum difference to the lowest score at which the backend server that has the prompt's prefix
+/// in its cache is still selected.
 const AFFINITY_SLACK: f64 = 0.5;
 /// Interval at which the balancer rejects waiting requests that can no longer meet their deadline.
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
--- a/daemon/src/entry/flow.rs
+++ b/daemon/src/entry/flow.rs
@@ -1,4 +1,4 @@
-//! A request's way through the entry host.
+//! Handles a client's request, from its arrival to the answer.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -14,7 +14,7 @@
 use crate::entry::{Entry, call, claim, dispatch, dispatcher, relay};
 use crate::{admin, force, life};
 
-/// Answers one request. Whatever happens, the caller gets a final answer at once.
+/// Answers one request. If it cannot be served, the client gets a final response immediately.
 pub async fn handle(
     entry: Arc<Entry>,
     request: http::Request<Incoming>,
@@ -40,20 +40,21 @@
     Ok(answer.map(body::Flushed::new))
 }
 
+/// Validates the request, claims its key, and makes attempts until it is answered or rejected.
 async fn serve(
     entry: &Arc<Entry>,
     id: uuid::Uuid,
     request: http::Request<Incoming>,
 ) -> Result<http::Response<relay::Body>, Refusal> {
     let process = &entry.process;
-    let flight = process.life.enter().ok_or(Refusal::NotServing)?;
+    let in_flight = process.life.enter().ok_or(Refusal::NotServing)?;
     let bundle = process.gossip.force.bundle().ok_or(Refusal::NotServing)?;
     if request.uri().path() == MODELS_PATH {
-        return models(&request, &bundle);
+        return list_models(&request, &bundle);
     }
     let max_body = process.settings.entry.as_ref().map_or(usize::MAX, |own| own.max_body);
     let call = call::read(id, request, &bundle, max_body).await?;
-    let _in_time =
+    let _settled =
         tokio::time::timeout(call.budget, process.ends.wait_until_settled(call.digest())).await;
     if let poison::Standing::Refused(ends) = process.ends.standing(call.digest()) {
         let digest = call.digest();
@@ -61,28 +62,29 @@
         return Err(Refusal::EndsServers);
     }
     let call = call::Call { suspect: process.ends.apart(call.digest()), ..call };
-    // The deadline runs while the key is claimed, too.
-    let began = boot::Instant::now();
+    // The time spent on the claim counts towards the deadline.
+    let claim_start = boot::Instant::now();
     let claim = match call.key {
         Some(key) if !call.class.repeatable => Some(claim::acquire(process, &call, key).await?),
         _ => None,
     };
-    let budget = call.budget.checked_sub(began.elapsed()).ok_or(Refusal::Deadline)?;
+    let budget = call.budget.checked_sub(claim_start.elapsed()).ok_or(Refusal::Deadline)?;
     let flow = Flow {
         entry: entry.clone(),
         call,
         bundle,
         claim,
-        flight,
+        in_flight,
         due: boot::Instant::now() + budget,
     };
     flow.run(budget).await
 }
 
-/// Path that lists the models.
+/// Path at which the models are listed.
 const MODELS_PATH: &str = "/v1/models";
 
-fn models(
+/// Lists the models and their adapters.
+fn list_models(
     request: &http::Request<Incoming>,
     bundle: &force::Bundle,
 ) -> Result<http::Response<relay::Body>, Refusal> {
@@ -100,17 +102,20 @@
     Ok(response)
 }
 
-/// A request that was read and may be sent.
+/// A validated request that may be sent to backend servers.
 struct Flow {
     entry: Arc<Entry>,
     call: call::Call,
     bundle: Arc<force::Bundle>,
     claim: Option<claim::Claim>,
-    flight: life::InFlight,
+    in_flight: life::InFlight,
+    /// Deadline of the request.
     due: boot::Instant,
 }
 
 impl Flow {
+    /// Executes the balancer's actions for the request until an answer begins or the request is
+    /// rejected.
     async fn run(mut self, budget: Duration) -> Result<http::Response<relay::Body>, Refusal> {
         let mut permit = self.entry.dispatcher.arrive(&dispatcher::Arrival {
             pool: self.call.pool.clone(),
@@ -122,20 +127,21 @@
             suspect: self.call.suspect.then(|| self.call.digest()),
         });
         loop {
-            // The dispatcher outlives its permits and always says what follows.
+            // The dispatcher outlives its permits and always sends a next action.
             let action = permit.next().await.ok_or(Refusal::NotServing)?;
             match action {
-                balancer::Action::Refuse(refusal) => return Err(self.give_up(refusal)),
+                balancer::Action::Refuse(refusal) => return Err(self.reject(refusal)),
                 balancer::Action::Send(next) => {
                     if let Some(answer) = self.attempt(&mut permit, &next).await {
-                        return Ok(self.hand_on(permit, next.choice.server, *answer).await);
+                        return Ok(self.relay(permit, next.choice.server, *answer).await);
                     }
                 }
             }
         }
     }
 
-    fn give_up(&mut self, refusal: balancer::Refusal) -> Refusal {
+    /// Settles the claim of a request that the balancer rejected, and returns the response.
+    fn reject(&mut self, refusal: balancer::Refusal) -> Refusal {
         let outcome = match refusal.outcome {
             balancer::Outcome::NotRun => Outcome::NotRun,
             balancer::Outcome::Unknown => Outcome::Unknown,
@@ -146,8 +152,8 @@
         Refusal::Balancer(refusal)
     }
 
-    /// Takes what an answer says of its backend server's near future.
-    fn take_notice(
+    /// Applies what an answer announces about its backend server resting or leaving.
+    fn apply_notice(
         &self,
         server: entity::Server,
         target: &dispatcher::Target,
@@ -168,8 +174,8 @@
         }
     }
 
-    /// Takes what an answer says of its backend server's rate limit.
-    fn take_limit(
+    /// Applies what an answer reports about its backend server's rate limit.
+    fn apply_limit(
         &self,
         next: &balancer::Dispatch,
         target: &dispatcher::Target,
@@ -191,7 +197,7 @@
         }
     }
 
-    /// Sends one attempt; returns its answer if one has begun.
+    /// Makes one attempt. Returns its answer if one has begun.
     async fn attempt(
         &mut self,
         permit: &mut dispatcher::Permit,
@@ -201,7 +207,7 @@
             permit.end(balancer::End::NeverRan);
             return None;
         };
-        self.note(next, &target);
+        self.log_selection(next, &target);
         let remaining = self.due.saturating_duration_since(boot::Instant::now());
         let process = self.entry.process.clone();
         let attempt = dispatch::Attempt {
@@ -219,12 +225,12 @@
         match dispatch::send(&process, &attempt).await {
             dispatch::Response::Answer(answer) => {
                 permit.begin(sent_at.elapsed());
-                self.take_notice(next.choice.server, &target, &answer.notice());
-                self.take_limit(next, &target, answer.limit());
+                self.apply_notice(next.choice.server, &target, &answer.notice());
+                self.apply_limit(next, &target, answer.limit());
                 Some(answer)
             }
             dispatch::Response::Failure(failure) => {
-                self.note_end(next.attempt, &failure);
+                self.log_failure(next.attempt, &failure);
                 if let Some(report) = failure.report {
                     self.entry.dispatcher.report(next.choice.server, &report);
                 }
@@ -239,9 +245,9 @@
         }
     }
 
-    /// Logs a routing decision.
-    fn note(&self, next: &balancer::Dispatch, target: &dispatcher::Target) {
-        let weighed: Vec<String> = next
+    /// Records which backend server was selected, from which candidates and why.
+    fn log_selection(&self, next: &balancer::Dispatch, target: &dispatcher::Target) {
+        let candidates: Vec<String> = next
             .considered
             .iter()
             .filter_map(|candidate| {
@@ -258,22 +264,23 @@
                 self.call.pool,
                 next.attempt,
                 self.bundle.generation,
-                weighed.join(","),
+                candidates.join(","),
                 target.host,
                 next.choice.reason
             ),
         );
     }
 
-    fn note_end(&self, attempt: u32, failure: &dispatch::Failure) {
+    /// Records how an attempt without an answer ended.
+    fn log_failure(&self, attempt: u32, failure: &dispatch::Failure) {
         self.entry.process.history.record(
             &self.call.id.to_string(),
             format!("attempt={attempt} ended={:?} cause=\"{}\"", failure.end, failure.cause),
         );
     }
 
-    /// Hands the answer on to the caller.
-    async fn hand_on(
+    /// Relays the answer to the client.
+    async fn relay(
         self,
         permit: dispatcher::Permit,
         server: entity::Server,
@@ -282,7 +289,7 @@
         let target = self.entry.dispatcher.target(server);
         let host = target.map(|(target, _)| target.host).unwrap_or_default();
         let subject = dispatch::Subject::new(&self.call, host);
-        let finish = relay::Completion {
+        let completion = relay::Completion {
             process: self.entry.process.clone(),
             dispatcher: self.entry.dispatcher.clone(),
             server,
@@ -290,8 +297,8 @@
             subject,
             permit: Some(permit),
             claim: self.claim,
-            _in_flight: self.flight,
+            _in_flight: self.in_flight,
         };
-        relay::respond(answer, finish, self.due).await
+        relay::respond(answer, completion, self.due).await
     }
 }
--- a/daemon/src/entry/follow.rs
+++ b/daemon/src/entry/follow.rs
@@ -1,4 +1,4 @@
-//! Follows the load of the agents.
+//! Follows the agents: receives their load reports on a stream for each.
 
 use std::collections::BTreeSet;
 use std::sync::{Arc, Mutex};
@@ -11,32 +11,35 @@
 use crate::clock;
 use crate::entry::{Entry, dispatcher};
 
-/// Reports a second from all agents together: the node's share of processor
-/// and network for control bounds them, see `docs/CAPACITY.md`. What attempts
-/// bear keeps the load of the servers in use fresher than that.
+/// Maximum number of reports per second from all agents together. It is bounded by the node's share
+/// of processor and network for control traffic, see `docs/CAPACITY.md`. The load of servers in use
+/// is more recent than these reports, because the answers to attempts carry it too.
 const REPORTS_PER_SECOND: u64 = 25;
-/// Least time between two reports of one agent, milliseconds.
-const LEAST_SPACING_MS: u64 = 100;
-/// An agent that is silent for longer than that, and than two reports take,
-/// counts as gone.
-const SILENCE: Duration = Duration::from_secs(3);
-/// Shortest and longest pause before the next try.
+/// Minimum interval between two reports of one agent, in milliseconds.
+const MIN_SPACING_MS: u64 = 100;
+/// Time without a report, in addition to two intervals between reports, after which an agent is
+/// considered disconnected.
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(3);
+/// Minimum and maximum delay before a stream is opened again.
 const BACKOFF: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(2));
 
+/// Backend servers whose agents have a task that follows them.
 type Followed = Arc<Mutex<BTreeSet<entity::Server>>>;
 
-/// Keeps the dispatcher's listings fresh and one follower for each agent.
+/// Applies each change of the bundle or the host list, and starts a task for each agent to follow.
 pub async fn run(entry: Arc<Entry>) {
     let followed: Followed = Arc::default();
-    let mut changed = entry.process.gossip.subscribe();
+    let mut changes = entry.process.gossip.subscribe();
     loop {
         refresh(&entry, &followed);
-        if changed.changed().await.is_err() {
+        if changes.changed().await.is_err() {
             return;
         }
     }
 }
 
+/// Updates the dispatcher and the links, and follows agents that are not followed yet. Agents of
+/// this availability zone take precedence if there are more than the maximum.
 fn refresh(entry: &Arc<Entry>, followed: &Followed) {
     let Some(bundle) = entry.process.gossip.force.bundle() else { return };
     let list = entry.process.gossip.hosts();
@@ -47,9 +50,9 @@
     entry.process.links.keep(|address| list.hosts.iter().any(|host| host.address == address));
     let mut listed = entry.dispatcher.listed();
     listed.sort_by_key(|(server, target)| (target.zone != *zone, *server));
-    let most = entry.process.settings.entry.as_ref().map_or(usize::MAX, |own| own.max_followed);
+    let limit = entry.process.settings.entry.as_ref().map_or(usize::MAX, |own| own.max_followed);
     let mut followed_now = lock(followed);
-    for (server, _) in listed.into_iter().take(most) {
+    for (server, _) in listed.into_iter().take(limit) {
         if followed_now.insert(server) {
             tokio::spawn(follow(entry.clone(), followed.clone(), server));
         }
@@ -60,7 +63,7 @@
     followed.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
 }
 
-/// Follows one agent until it is no longer listed.
+/// Follows one agent until it is not in the host list any more.
 async fn follow(entry: Arc<Entry>, followed: Followed, server: entity::Server) {
     let mut backoff = BACKOFF.0;
     loop {
@@ -76,12 +79,12 @@
     lock(&followed).remove(&server);
 }
 
-/// Time between two reports of one agent out of so many.
+/// Returns the interval between two reports of each of `followed` agents, in milliseconds.
 fn spacing_ms(followed: u64) -> u64 {
-    (followed * 1_000 / REPORTS_PER_SECOND).max(LEAST_SPACING_MS)
+    (followed * 1_000 / REPORTS_PER_SECOND).max(MIN_SPACING_MS)
 }
 
-/// Takes reports until the stream ends; returns whether any came.
+/// Applies reports until the stream ends or the agent is silent. Returns whether any report arrived.
 async fn watch(
     entry: &Entry,
     server: entity::Server,
@@ -90,15 +93,15 @@
     let mut agent = entry.process.links.get(target.address).agent.clone();
     let spacing_ms = spacing_ms(entry.dispatcher.listed().len() as u64);
     let subscription = wire::Subscription { spacing_ms: spacing_ms as u32 };
-    let silence = SILENCE + 2 * Duration::from_millis(spacing_ms);
+    let silence_timeout = SILENCE_TIMEOUT + 2 * Duration::from_millis(spacing_ms);
     let mut stream = agent.watch(subscription).await?.into_inner();
-    let mut any = false;
-    while let Ok(Ok(Some(report))) = tokio::time::timeout(silence, stream.message()).await {
+    let mut received = false;
+    while let Ok(Ok(Some(report))) = tokio::time::timeout(silence_timeout, stream.message()).await {
         entry.dispatcher.report(server, &report);
-        if !any {
+        if !received {
             entry.dispatcher.set_connected(server, true);
         }
-        any = true;
+        received = true;
     }
-    Ok(any)
+    Ok(received)
 }
--- a/daemon/src/entry/refusal.rs
+++ b/daemon/src/entry/refusal.rs
@@ -1,4 +1,4 @@
-//! Answers to callers that are not a backend server's, each with its type.
+//! Error responses that the entry host itself sends to clients, and their types.
 
 use std::time::Duration;
 
@@ -10,43 +10,43 @@
 
 use crate::entry::call;
 
-/// Why a caller gets no backend server's answer.
+/// Why a client does not get a backend server's answer.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Refusal {
-    /// The process takes no work: it starts or drains.
+    /// The process accepts no requests, because it is starting or draining.
     #[error("this entry host is not serving")]
     NotServing,
-    /// There is no bearer token, or no team has it.
+    /// The bearer token is missing, or belongs to no team.
     #[error("the bearer token is missing or belongs to no team")]
     Token,
-    /// No model has that name.
+    /// There is no model with this name.
     #[error("no model `{0}`")]
     Model(String),
-    /// No service has that name.
+    /// There is no service with this name.
     #[error("no service `{0}`")]
     Service(String),
-    /// No class has that name.
+    /// There is no request class with this name.
     #[error("no request class `{0}`")]
     Class(String),
-    /// The path is not one that is served.
+    /// The path is not served.
     #[error("no such path")]
     Path,
-    /// The method is not one that the path takes.
+    /// The path does not support the method.
     #[error("the path does not take this method")]
     Method,
-    /// The body is not the JSON that it must be.
+    /// The body is not a chat request in JSON.
     #[error("the body is not a chat request: {0}")]
     Json(String),
-    /// The body is over the limit.
+    /// The body exceeds the size limit, in bytes.
     #[error("the body is over {0} bytes")]
     TooLarge(usize),
-    /// The body ended before it was whole.
+    /// The body ended before it was complete.
     #[error("the body did not come whole")]
     Truncated,
-    /// The headers are over the limit.
+    /// The headers exceed the size limit, in bytes.
     #[error("the headers are over {0} bytes")]
     Headers(usize),
-    /// A header cannot be read.
+    /// The value of a header cannot be parsed.
     #[error("the header {0} cannot be read")]
     Header(&'static str),
     /// The deadline has passed.
@@ -55,36 +55,36 @@
     /// The idempotency key is not a UUIDv7.
     #[error(transparent)]
     Key(#[from] home::key::Error),
-    /// The key's standing does not let the request run.
+    /// The home did not grant the idempotency key.
     #[error("idempotency key: {0:?}")]
     Claim(home::keeper::Standing),
-    /// The key's home was not reached.
+    /// The home of the idempotency key could not be reached.
     #[error("the home of the idempotency key was not reached")]
     Home,
-    /// The balancer gave the request up.
+    /// The balancer rejected the request.
     #[error("given up: {}", .0.reason)]
     Balancer(balancer::Refusal),
-    /// Backend servers ended under it, at earlier tries.
+    /// Backend servers ended under earlier attempts at the request.
     #[error("backend servers end under this request")]
     EndsServers,
-    /// An attempt may have run and gave no whole answer.
+    /// An attempt may have run, and its answer is not complete.
     #[error("the answer was lost; the request may have run")]
     Lost,
 }
 
-/// What a caller is told of a request's fate.
+/// Whether a request ran, as reported to its client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// It was answered whole.
+    /// The request ran, and its answer was complete.
     Answered,
-    /// It truly did not run.
+    /// The request certainly did not run.
     NotRun,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
 }
 
 impl Outcome {
-    /// The word for it in headers and bodies.
+    /// Returns the name of the outcome in headers and bodies.
     pub fn as_str(self) -> &'static str {
         match self {
             Outcome::Answered => "answered",
@@ -94,10 +94,10 @@
     }
 }
 
-/// When to come back after a refusal that has no better estimate.
+/// Delay before a retry for which there is no better estimate.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
-/// When to come back while another ask under the same key is running.
-const RETRY_CLAIMED: Duration = Duration::from_secs(5);
+/// Delay before a retry while another request under the same key is running.
+const RETRY_AFTER_CLAIMED: Duration = Duration::from_secs(5);
 
 #[derive(Serialize)]
 struct Body<'a> {
@@ -113,8 +113,8 @@
 }
 
 impl Refusal {
-    /// HTTP status, and the type in the body.
-    fn class(&self) -> (StatusCode, &'static str) {
+    /// Returns the HTTP status, and the type of the error in the body.
+    fn status_and_type(&self) -> (StatusCode, &'static str) {
         match self {
             Refusal::NotServing => (StatusCode::SERVICE_UNAVAILABLE, "not-serving"),
             Refusal::Token => (StatusCode::UNAUTHORIZED, "unknown-team"),
@@ -132,15 +132,15 @@
             Refusal::Header(_) => (StatusCode::BAD_REQUEST, "malformed-header"),
             Refusal::Deadline => (StatusCode::GATEWAY_TIMEOUT, "deadline"),
             Refusal::Key(_) => (StatusCode::BAD_REQUEST, "malformed-key"),
-            Refusal::Claim(standing) => claim_class(*standing),
+            Refusal::Claim(standing) => claim_status(*standing),
             Refusal::Home => (StatusCode::SERVICE_UNAVAILABLE, "home-unreachable"),
-            Refusal::Balancer(refusal) => balancer_class(refusal),
+            Refusal::Balancer(refusal) => balancer_status(refusal),
             Refusal::Lost => (StatusCode::BAD_GATEWAY, "answer-lost"),
             Refusal::EndsServers => (StatusCode::BAD_GATEWAY, "ends-servers"),
         }
     }
 
-    /// What the caller is told of the request's fate.
+    /// Returns the outcome to report to the client.
     pub fn outcome(&self) -> Outcome {
         use home::keeper::Standing;
         match self {
@@ -148,27 +148,28 @@
             Refusal::Balancer(refusal) if refusal.outcome == balancer::Outcome::Unknown => {
                 Outcome::Unknown
             }
-            // The key's request ran and was answered, when it was first asked.
+            // An earlier request under the key has run and was answered.
             Refusal::Claim(Standing::Ran) => Outcome::Answered,
             Refusal::Claim(Standing::Claimed | Standing::Unknown) => Outcome::Unknown,
             _ => Outcome::NotRun,
         }
     }
 
+    /// Returns the delay before a retry, or `None` if a retry cannot help.
     fn retry_after(&self) -> Option<Duration> {
         use home::keeper::Standing;
         match self {
             Refusal::Balancer(refusal) => Some(refusal.retry_after),
             Refusal::NotServing | Refusal::Home | Refusal::Lost => Some(RETRY_AFTER),
             Refusal::Claim(Standing::NotHome | Standing::Full) => Some(RETRY_AFTER),
-            Refusal::Claim(Standing::Claimed) => Some(RETRY_CLAIMED),
+            Refusal::Claim(Standing::Claimed) => Some(RETRY_AFTER_CLAIMED),
             _ => None,
         }
     }
 
-    /// Whether the request's body may not have been read to its end.
-    fn leaves_body(&self) -> bool {
-        let read_whole = matches!(
+    /// Returns whether a part of the request's body may be unread.
+    fn may_leave_body_unread(&self) -> bool {
+        let body_read = matches!(
             self,
             Refusal::Balancer(_)
                 | Refusal::Claim(_)
@@ -176,12 +177,12 @@
                 | Refusal::Lost
                 | Refusal::EndsServers
         );
-        !read_whole
+        !body_read
     }
 
-    /// The whole answer.
+    /// Returns the complete response.
     pub fn response(&self, request_id: &str) -> http::Response<Full<Bytes>> {
-        let (status, kind) = self.class();
+        let (status, kind) = self.status_and_type();
         let outcome = self.outcome().as_str();
         let error = Error { r#type: kind, message: self.to_string(), outcome, request_id };
         let json = serde_json::to_vec(&Body { error }).unwrap_or_default();
@@ -194,9 +195,9 @@
         if let Ok(id) = http::HeaderValue::from_str(request_id) {
             headers.insert(call::REQUEST_ID_HEADER, id);
         }
-        if self.leaves_body() {
-            // The connection ends with the rest of the body unread: a caller
-            // that was not told could send its next request into it.
+        if self.may_leave_body_unread() {
+            // The connection is closed with the remaining body unread. Without this header, the
+            // client could send its next request on the same connection.
             let close = http::HeaderValue::from_static("close");
             headers.insert(http::header::CONNECTION, close);
         }
@@ -208,7 +209,8 @@
     }
 }
 
-fn claim_class(standing: home::keeper::Standing) -> (StatusCode, &'static str) {
+/// Returns the status and the type for a key that was not granted.
+fn claim_status(standing: home::keeper::Standing) -> (StatusCode, &'static str) {
     use home::keeper::Standing;
     match standing {
         Standing::Ran => (StatusCode::CONFLICT, "already-answered"),
@@ -221,7 +223,8 @@
     }
 }
 
-fn balancer_class(refusal: &balancer::Refusal) -> (StatusCode, &'static str) {
+/// Returns the status and the type for a request that the balancer rejected.
+fn balancer_status(refusal: &balancer::Refusal) -> (StatusCode, &'static str) {
     use loftcove_decision::admission;
     match refusal.reason {
         balancer::Reason::Admission(admission::Refusal::TeamLimit) => {
--- a/daemon/src/entry/relay.rs
+++ b/daemon/src/entry/relay.rs
@@ -1,9 +1,10 @@
-//! Hands a backend server's answer on to the caller.
+//! Relays a backend server's answer to the client.
 //!
-//! A short answer is held until its end mark has come, so that its header
-//! states the outcome. A stream goes on part by part; its outcome is in a
-//! trailer, and, for server-sent events, in a last comment. An answer without
-//! its end mark is never passed off as whole: the body ends with an error.
+//! A short answer is buffered until its end mark arrives, so that a response header can state the
+//! outcome. A longer answer or an event stream is relayed as it arrives. Its outcome is stated in a
+//! trailer, and for server-sent events also in a final comment. If the end mark is missing, the
+//! response does not look complete: a streamed body ends with an error, and a buffered answer is
+//! replaced by an error response.
 
 use std::collections::VecDeque;
 use std::pin::Pin;
@@ -22,33 +23,36 @@
 use crate::entry::{call, claim, dispatch, dispatcher};
 use crate::{life, process};
 
-/// Longest answer that is held until its end, bytes.
-const HOLD_LIMIT: usize = 64 * 1024;
+/// Maximum size of an answer that is buffered until it is complete, in bytes. A longer one is
+/// relayed as it arrives.
+const MAX_BUFFERED: usize = 64 * 1024;
 /// Media type of server-sent events.
 const EVENT_STREAM: &[u8] = b"text/event-stream";
 
-/// What is to be done when an answer ends. Dropped before that, the caller left.
+/// What to release and record when an answer ends. If it is dropped earlier, the client has
+/// disconnected.
 pub struct Completion {
-    /// The process.
+    /// Shared state of the process.
     pub process: Arc<process::Process>,
-    /// The dispatcher, which learns the load that the end mark bears.
+    /// Dispatcher, which receives the load report in the end mark.
     pub dispatcher: Arc<dispatcher::Dispatcher>,
-    /// The backend server that answers.
+    /// Backend server that answers.
     pub server: entity::Server,
     /// Id of the request.
     pub request: String,
-    /// What it is, and where it runs.
+    /// Identity of the request, and the backend server that runs it.
     pub subject: dispatch::Subject,
-    /// Its place at the dispatcher.
+    /// The dispatcher's permit for the request, until the answer ends.
     pub permit: Option<dispatcher::Permit>,
-    /// Its claim.
+    /// Claim of the request's idempotency key, until the answer ends.
     pub claim: Option<claim::Claim>,
-    /// Its share in the requests in flight.
+    /// Guard that counts the request as in flight.
     pub _in_flight: life::InFlight,
 }
 
 impl Completion {
-    fn end(&mut self, end: balancer::End, outcome: Outcome, reason: &str) {
+    /// Reports the end to the dispatcher and to the key's home, and records the outcome.
+    fn record_end(&mut self, end: balancer::End, outcome: Outcome, reason: &str) {
         if let Some(mut permit) = self.permit.take() {
             permit.end(end);
         }
@@ -61,21 +65,23 @@
             .record(&self.request, format!("outcome={} reason={reason}", outcome.as_str()));
     }
 
-    fn answered(&mut self) {
+    /// Records that the answer is complete, and so that the request has ended no server.
+    fn record_answer(&mut self) {
         self.process.ends.clear(self.subject.digest);
-        self.end(balancer::End::Answered, Outcome::Answered, "whole");
+        self.record_end(balancer::End::Answered, Outcome::Answered, "whole");
     }
 
-    fn broken(&mut self, reason: &str) {
+    /// Records that the answer broke off for `reason`.
+    fn record_break(&mut self, reason: &str) {
         let end = balancer::End::MayHaveRun { answer_begun: true };
-        self.end(end, Outcome::Unknown, reason);
+        self.record_end(end, Outcome::Unknown, reason);
     }
 }
 
-/// Why a body ended early.
+/// Why the body of a response ended early.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The answer broke off.
+    /// The answer broke off before its end mark.
     #[error("the answer broke off")]
     Broken,
 }
@@ -87,8 +93,8 @@
     Broken(&'static str),
 }
 
-/// Reads a frame; one that does not echo the attempt is dropped and counted.
-fn part(
+/// Reads a frame. A frame that does not repeat the attempt's id is dropped and counted.
+fn read_part(
     completion: &Completion,
     id: &wire::AttemptId,
     frame: Result<Option<wire::Frame>, tonic::Status>,
@@ -118,7 +124,7 @@
     }
 }
 
-/// Builds the caller's answer.
+/// Builds the response to the client.
 pub async fn respond(
     mut answer: dispatch::Answer,
     mut completion: Completion,
@@ -138,66 +144,71 @@
     if let Ok(id) = http::HeaderValue::from_str(&completion.request) {
         headers.insert(call::REQUEST_ID_HEADER, id);
     }
-    let kind = headers.get(http::header::CONTENT_TYPE);
-    let events = kind.is_some_and(|kind| kind.as_bytes().starts_with(EVENT_STREAM));
-    let mut held = VecDeque::new();
-    if !events {
-        match hold(&mut answer, &completion, &mut held, due).await {
-            Held::Whole => {
-                completion.answered();
+    let content_type = headers.get(http::header::CONTENT_TYPE);
+    let event_stream = content_type.is_some_and(|value| value.as_bytes().starts_with(EVENT_STREAM));
+    let mut buffered = VecDeque::new();
+    if !event_stream {
+        match buffer(&mut answer, &completion, &mut buffered, due).await {
+            Buffered::Whole => {
+                completion.record_answer();
                 let outcome = http::HeaderValue::from_static(Outcome::Answered.as_str());
                 response.headers_mut().insert(call::OUTCOME_HEADER, outcome);
-                return response.map(|()| Body::whole(concat(held).into()));
+                return response.map(|()| Body::whole(concat(buffered).into()));
             }
-            Held::Broken(reason) => {
-                completion.broken(reason);
+            Buffered::Broken(reason) => {
+                completion.record_break(reason);
                 return Refusal::Lost.response(&completion.request).map(Body::whole);
             }
-            Held::Long => {}
+            Buffered::Long => {}
         }
     }
     let trailer = http::HeaderValue::from_static(call::OUTCOME_HEADER);
     response.headers_mut().insert(http::header::TRAILER, trailer);
     let sleep = Box::pin(tokio::time::sleep_until(due.timer()));
-    let stream = Stream { answer, completion, events, held, deadline: sleep, state: State::Open };
+    let stream =
+        Stream { answer, completion, event_stream, buffered, deadline: sleep, state: State::Open };
     response.map(|()| Body { inner: Inner::Stream(Box::new(stream)) })
 }
 
-/// What came of holding an answer.
-enum Held {
+/// Result of buffering an answer.
+enum Buffered {
+    /// The answer is complete.
     Whole,
+    /// The answer is longer than [`MAX_BUFFERED`].
     Long,
+    /// The answer broke off, for this reason.
     Broken(&'static str),
 }
 
-async fn hold(
+/// Buffers the answer until it ends or is longer than [`MAX_BUFFERED`].
+async fn buffer(
     answer: &mut dispatch::Answer,
     completion: &Completion,
-    held: &mut VecDeque<Bytes>,
+    buffered: &mut VecDeque<Bytes>,
     due: boot::Instant,
-) -> Held {
+) -> Buffered {
     let mut size = 0;
-    while size <= HOLD_LIMIT {
+    while size <= MAX_BUFFERED {
         let next = tokio::time::timeout_at(due.timer(), answer.frames.message()).await;
-        let Ok(frame) = next else { return Held::Broken("deadline") };
-        match part(completion, &answer.id, frame) {
+        let Ok(frame) = next else { return Buffered::Broken("deadline") };
+        match read_part(completion, &answer.id, frame) {
             Some(Part::Data(data)) => {
                 size += data.len();
-                held.push_back(data);
+                buffered.push_back(data);
             }
-            Some(Part::End) => return Held::Whole,
-            Some(Part::Broken(reason)) => return Held::Broken(reason),
+            Some(Part::End) => return Buffered::Whole,
+            Some(Part::Broken(reason)) => return Buffered::Broken(reason),
             None => {}
         }
     }
-    Held::Long
+    Buffered::Long
 }
 
 fn concat(parts: VecDeque<Bytes>) -> Vec<u8> {
     parts.iter().flat_map(|part| part.iter().copied()).collect()
 }
 
-/// Body of an answer to a caller.
+/// Body of a response to a client.
 pub struct Body {
     inner: Inner,
 }
@@ -208,30 +219,32 @@
 }
 
 impl Body {
-    /// A body that is there.
+    /// Returns a body that is completely known.
     pub fn whole(body: Full<Bytes>) -> Body {
         Body { inner: Inner::Whole(body) }
     }
 }
 
-/// An answer on its way.
+/// An answer that is relayed as it arrives.
 struct Stream {
     answer: dispatch::Answer,
     completion: Completion,
-    events: bool,
-    held: VecDeque<Bytes>,
+    event_stream: bool,
+    buffered: VecDeque<Bytes>,
     deadline: Pin<Box<tokio::time::Sleep>>,
     state: State,
 }
 
-/// How far a stream has come.
+/// State of a stream.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum State {
+    /// Parts of the answer follow.
     Open,
-    /// The last comment was sent; the trailers follow.
+    /// The answer is complete, and a final comment was sent if needed; the trailers follow.
     Trailers,
-    /// The error follows.
+    /// The error event was sent; the error that ends the body follows.
     Error,
+    /// Nothing follows.
     Done,
 }
 
@@ -250,7 +263,7 @@
                 }
                 State::Open => {}
             }
-            if let Some(data) = self.held.pop_front() {
+            if let Some(data) = self.buffered.pop_front() {
                 return Poll::Ready(Some(Ok(Frame::data(data))));
             }
             if self.deadline.as_mut().poll(context).is_ready() {
@@ -260,13 +273,13 @@
                 Poll::Pending => return Poll::Pending,
                 Poll::Ready(frame) => frame.transpose(),
             };
-            match part(&self.completion, &self.answer.id, frame) {
+            match read_part(&self.completion, &self.answer.id, frame) {
                 Some(Part::Data(data)) => return Poll::Ready(Some(Ok(Frame::data(data)))),
                 Some(Part::End) => {
-                    self.completion.answered();
+                    self.completion.record_answer();
                     self.state = State::Trailers;
-                    if self.events {
-                        return Poll::Ready(Some(Ok(Frame::data(last_comment()))));
+                    if self.event_stream {
+                        return Poll::Ready(Some(Ok(Frame::data(outcome_comment()))));
                     }
                 }
                 Some(Part::Broken(reason)) => return Poll::Ready(self.break_off(reason)),
@@ -275,11 +288,11 @@
         }
     }
 
-    /// Tells an event stream's reader that the answer is not whole, then ends
-    /// the body with an error.
+    /// Ends the body with an error. In an event stream an error event precedes it, so that the
+    /// reader knows that the answer is not complete.
     fn break_off(&mut self, reason: &'static str) -> Option<Result<Frame<Bytes>, Error>> {
-        self.completion.broken(reason);
-        if !self.events {
+        self.completion.record_break(reason);
+        if !self.event_stream {
             self.state = State::Done;
             return Some(Err(Error::Broken));
         }
@@ -296,8 +309,8 @@
     }
 }
 
-/// A comment, which readers of server-sent events pass over.
-fn last_comment() -> Bytes {
+/// Returns a comment with the outcome. Readers of server-sent events ignore comments.
+fn outcome_comment() -> Bytes {
     format!(": {} {}\n\n", call::OUTCOME_HEADER, Outcome::Answered.as_str()).into()
 }
 
--- a/daemon/src/entry/server.rs
+++ b/daemon/src/entry/server.rs
@@ -1,4 +1,4 @@
-//! Listens to callers, HTTP/1.1 and HTTP/2.
+//! Accepts and serves clients' connections, over HTTP/1.1 and HTTP/2.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,21 +10,22 @@
 
 use crate::entry::{Entry, flow};
 
-/// Longest wait for a request's headers.
+/// Timeout of the headers of a request.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(10);
-/// Bytes of headers before the connection is given up; the typed answer for
-/// headers over the limit comes well before.
+/// Maximum size of headers, in bytes, before the connection is closed. It is well above
+/// `call::MAX_HEADER_BYTES`, so that headers over that limit get an error response first.
 const MAX_HEADER_BUFFER: usize = 64 * 1024;
 
-/// Listens until the process ends.
+/// Accepts connections until the process exits.
 pub async fn run(entry: Arc<Entry>, listener: TcpListener) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                tokio::spawn(serve(entry.clone(), stream));
+                tokio::spawn(serve_connection(entry.clone(), stream));
             }
             Err(error) => {
-                // Out of file descriptors, mostly: others must end first.
+                // Mostly the process is out of file descriptors, and other connections must end
+                // first.
                 log::error!("accept failed error=\"{error}\"");
                 tokio::time::sleep(Duration::from_millis(50)).await;
             }
@@ -32,8 +33,9 @@
     }
 }
 
-async fn serve(entry: Arc<Entry>, stream: TcpStream) {
-    // Tokens are small and must not wait for one another.
+/// Serves one connection until it ends.
+async fn serve_connection(entry: Arc<Entry>, stream: TcpStream) {
+    // Tokens are small, and Nagle's algorithm would delay them.
     stream.set_nodelay(true).unwrap_or_default();
     let mut phase = entry.process.life.subscribe();
     let service = hyper::service::service_fn(move |request| flow::handle(entry.clone(), request));
@@ -51,12 +53,12 @@
     let ended = tokio::select! {
         ended = connection.as_mut() => ended,
         _ = draining => {
-            // Answers in flight go on; the connection takes no new request.
+            // Answers in flight are completed, but the connection accepts no new request.
             connection.as_mut().graceful_shutdown();
             connection.await
         }
     };
     if let Err(error) = ended {
-        log::debug!("caller's connection ended error=\"{error}\"");
+        log::debug!("client connection ended error=\"{error}\"");
     }
 }
