--- a/daemon/src/entry/assignment.rs
+++ b/daemon/src/entry/assignment.rs
@@ -1,8 +1,9 @@
 //! Assigns the slots of idempotency keys to agents.
 //!
 //! The *home* of a slot is the agent that grants the slot's keys, and its *witness* is an agent on
-//! another host that may take the slot over. The table of homes is stored in the platform. This
-//! module creates it, and assigns another home to each slot that has lost both (an *orphaned* slot).
+//! another host that may take the slot over. A slot is *orphaned* if it has lost both. The table of
+//! homes is stored in the platform. This module creates it, and assigns another home to each
+//! orphaned slot.
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/daemon/src/entry/flow.rs
+++ b/daemon/src/entry/flow.rs
@@ -258,7 +258,8 @@
         self.entry.process.history.record(
             &self.call.id.to_string(),
             format!(
-                "team={} class={} pool={} attempt={} generation={} candidates={} choice={} reason={}",
+                "team={} class={} pool={} attempt={} generation={} candidates={} choice={} \
+                 reason={}",
                 self.call.team,
                 self.call.class.name,
                 self.call.pool,
--- a/daemon/src/entry/follow.rs
+++ b/daemon/src/entry/follow.rs
@@ -79,12 +79,13 @@
     lock(&followed).remove(&server);
 }
 
-/// Returns the interval between two reports of each of `followed` agents, in milliseconds.
-fn spacing_ms(followed: u64) -> u64 {
-    (followed * 1_000 / REPORTS_PER_SECOND).max(MIN_SPACING_MS)
+/// Returns the interval between two reports of each agent, in milliseconds.
+fn spacing_ms(agents: u64) -> u64 {
+    (agents * 1_000 / REPORTS_PER_SECOND).max(MIN_SPACING_MS)
 }
 
-/// Applies reports until the stream ends or the agent is silent. Returns whether any report arrived.
+/// Applies reports until the stream ends or the agent is silent. Returns whether any report
+/// arrived.
 async fn watch(
     entry: &Entry,
     server: entity::Server,
--- a/daemon/src/entry/refusal.rs
+++ b/daemon/src/entry/refusal.rs
@@ -155,7 +155,7 @@
         }
     }
 
-    /// Returns the delay before a retry, or `None` if a retry cannot help.
+    /// Returns the delay before a retry, or `None` if the response suggests none.
     fn retry_after(&self) -> Option<Duration> {
         use home::keeper::Standing;
         match self {
