--- a/daemon/src/admin.rs
+++ b/daemon/src/admin.rs
@@ -22,7 +22,7 @@
 pub fn answer(process: &process::Process, path: &str) -> http::Response<Full<Bytes>> {
     let (status, text) = match path {
         "/healthz" => (http::StatusCode::OK, "ok\n".to_owned()),
-        "/readyz" if process.life.phase() == lifecycle::Phase::Serving => {
+        "/readyz" if process.lifecycle.phase() == lifecycle::Phase::Serving => {
             (http::StatusCode::OK, "ready\n".to_owned())
         }
         "/readyz" => (http::StatusCode::SERVICE_UNAVAILABLE, "not ready\n".to_owned()),
@@ -38,10 +38,10 @@
     let calls = process.platform.calls();
     let kinds = [("read", &calls.reads), ("watch", &calls.watches), ("write", &calls.writes)];
     for (kind, count) in kinds {
-        let gauge = process.metrics.platform.get_or_create(&metrics::Call { kind });
+        let gauge = process.metrics.platform_calls.get_or_create(&metrics::Call { kind });
         gauge.set(count.load(Ordering::Relaxed) as i64);
     }
-    process.metrics.in_flight.set(process.life.in_flight() as i64);
+    process.metrics.in_flight.set(process.lifecycle.in_flight() as i64);
     process.metrics.encode()
 }
 
--- a/daemon/src/agent.rs
+++ b/daemon/src/agent.rs
@@ -70,7 +70,7 @@
     let service = wire::agent_server::AgentServer::new(service::Service::new(agent.clone()))
         .max_decoding_message_size(wire::MAX_MESSAGE)
         .max_encoding_message_size(wire::MAX_MESSAGE);
-    let check = key.check();
+    let check = key.verifier();
     let peer = tonic::service::interceptor::InterceptedService::new(peer, check.clone());
     let service = tonic::service::interceptor::InterceptedService::new(service, check);
     let router = tonic::transport::Server::builder().add_service(peer).add_service(service);
@@ -120,8 +120,8 @@
 
 impl Agent {
     /// Whether the agent takes new work.
-    pub fn takes_work(&self) -> bool {
-        let serving = self.process.life.phase() == lifecycle::Phase::Serving;
+    pub fn accepts_work(&self) -> bool {
+        let serving = self.process.lifecycle.phase() == lifecycle::Phase::Serving;
         serving && !self.process.leaving(&self.process.settings.process.host)
     }
 }
--- a/daemon/src/agent/keeper.rs
+++ b/daemon/src/agent/keeper.rs
@@ -13,11 +13,11 @@
 use crate::{clock, homes};
 
 /// Looks at the platform in one lease: two may fail before it ends.
-const LOOKS_PER_LEASE: u32 = 3;
+const READS_PER_LEASE: u32 = 3;
 /// Longest time for handing slots over on a planned stop.
-const RETIRE_LIMIT: Duration = Duration::from_secs(3);
+const RETIRE_TIMEOUT: Duration = Duration::from_secs(3);
 /// Tries to hand slots over on a planned stop.
-const RETIRE_TRIES: u32 = 5;
+const RETIRE_ATTEMPTS: u32 = 5;
 
 /// The keeper.
 pub fn lock(agent: &Agent) -> MutexGuard<'_, home::keeper::Keeper> {
@@ -48,44 +48,44 @@
 /// Confirms, renews and takes over, as long as the table names this host.
 pub async fn run(agent: Arc<Agent>) {
     let lease = Duration::from_millis(agent.process.settings.homes.lease_ms);
-    let pause = lease / LOOKS_PER_LEASE;
+    let pause = lease / READS_PER_LEASE;
     let mut changed = agent.process.gossip.subscribe();
     loop {
-        if concerned(&agent) {
-            look(&agent).await;
-            if change(&agent).await {
-                look(&agent).await;
+        if is_listed(&agent) {
+            read_table(&agent).await;
+            if write_due_change(&agent).await {
+                read_table(&agent).await;
             }
-            renew(&agent).await;
+            renew_promises(&agent).await;
         }
-        let named = async {
+        let became_listed = async {
             // A table that newly names this host is read at once.
             while changed.changed().await.is_ok() {
-                if concerned(&agent) && !lock(&agent).listed() {
+                if is_listed(&agent) && !lock(&agent).listed() {
                     return;
                 }
             }
         };
         tokio::select! {
             _ = tokio::time::sleep(clock::jitter(pause, 0.8..1.0)) => {}
-            _ = named => {}
+            _ = became_listed => {}
         }
     }
 }
 
 /// Whether the table names this host, as far as this process has heard.
-fn concerned(agent: &Agent) -> bool {
+fn is_listed(agent: &Agent) -> bool {
     let own = &agent.process.settings.process.host;
-    let heard = agent.process.gossip.homes();
-    let named = heard
+    let table = agent.process.gossip.homes();
+    let listed = table
         .slots
         .iter()
         .any(|entry| entry.home.host == *own || entry.witness.as_ref() == Some(own));
-    named || lock(agent).listed()
+    listed || lock(agent).listed()
 }
 
 /// Reads the table from the platform; the read confirms this host's slots.
-async fn look(agent: &Agent) {
+async fn read_table(agent: &Agent) {
     let name = key::homes(&agent.process.settings.process.deployment);
     let began = agent.process.clock.now();
     let entry = match agent.process.platform.get(&name).await {
@@ -101,22 +101,22 @@
         return;
     };
     lock(agent).confirm(entry.revision, table, began, agent.process.clock.wall());
-    spread(agent, entry);
+    apply_table(agent, entry);
 }
 
-fn spread(agent: &Agent, entry: store::Entry) {
+fn apply_table(agent: &Agent, entry: store::Entry) {
     let kind = wire::Kind::Homes.into();
-    agent.process.take(wire::Record { kind, revision: entry.revision, value: entry.value });
+    agent.process.apply_record(wire::Record { kind, revision: entry.revision, value: entry.value });
 }
 
 /// Agents that may be homes.
-fn elected(agent: &Agent) -> Vec<home::table::Candidate> {
+fn elect_candidates(agent: &Agent) -> Vec<home::table::Candidate> {
     homes::elect(&agent.process.gossip.hosts(), agent.process.settings.homes.per_zone)
 }
 
 /// Writes the change that is due, if one is; returns whether one was tried.
-async fn change(agent: &Agent) -> bool {
-    let Some((revision, mut next, cause)) = due(agent) else { return false };
+async fn write_due_change(agent: &Agent) -> bool {
+    let Some((revision, mut next, cause)) = due_change(agent) else { return false };
     next.nonce = format!("{:032x}", rand::random::<u128>());
     let name = key::homes(&agent.process.settings.process.deployment);
     let value: Bytes = serde_json::to_vec(&next).unwrap_or_default().into();
@@ -125,8 +125,8 @@
     true
 }
 
-fn due(agent: &Agent) -> Option<(u64, home::table::Table, &'static str)> {
-    let elected = elected(agent);
+fn due_change(agent: &Agent) -> Option<(u64, home::table::Table, &'static str)> {
+    let elected = elect_candidates(agent);
     let now = agent.process.clock.now();
     let wall = agent.process.clock.wall();
     let list = agent.process.gossip.hosts();
@@ -150,8 +150,8 @@
 }
 
 /// Asks the witnesses of this home's slots for promises.
-async fn renew(agent: &Agent) {
-    let limit = Duration::from_millis(agent.process.settings.homes.lease_ms) / LOOKS_PER_LEASE;
+async fn renew_promises(agent: &Agent) {
+    let limit = Duration::from_millis(agent.process.settings.homes.lease_ms) / READS_PER_LEASE;
     let witnesses = lock(agent).witnesses();
     let calls = witnesses.into_iter().map(|witness| async move {
         let Some(host) = agent.process.host(&witness) else { return };
@@ -174,14 +174,14 @@
 /// platform that is not to be reached holds the stop up for a moment only:
 /// the witnesses then take over by themselves.
 pub async fn retire(agent: &Agent) {
-    if tokio::time::timeout(RETIRE_LIMIT, hand_over(agent)).await.is_err() {
+    if tokio::time::timeout(RETIRE_TIMEOUT, hand_over_slots(agent)).await.is_err() {
         log::warn!("homes not handed over");
     }
 }
 
-async fn hand_over(agent: &Agent) {
-    for _ in 0..RETIRE_TRIES {
-        let elected = elected(agent);
+async fn hand_over_slots(agent: &Agent) {
+    for _ in 0..RETIRE_ATTEMPTS {
+        let elected = elect_candidates(agent);
         let (revision, next) = {
             let mut keeper = lock(agent);
             (keeper.table().0, keeper.retire(&elected))
@@ -193,6 +193,6 @@
         let written = agent.process.platform.swap(&name, revision, value).await;
         agent.process.history.record("homes", format!("choice=hand-over result={written:?}"));
         // Reading back settles a lost answer and passes the news on.
-        look(agent).await;
+        read_table(agent).await;
     }
 }
--- a/daemon/src/agent/orders.rs
+++ b/daemon/src/agent/orders.rs
@@ -18,9 +18,9 @@
 /// Longest wait for the backend server to go over to a prepared map.
 const ACTIVATE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Pause between two tries to learn the fence.
-const LEARN_PAUSE: Duration = Duration::from_millis(250);
+const FENCE_RETRY_PAUSE: Duration = Duration::from_millis(250);
 /// Longest wait for another rank's agent.
-const ASK_TIMEOUT: Duration = Duration::from_millis(500);
+const QUERY_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// The gate. It is held while an order is carried out, so that a stale one
 /// cannot pass between the weighing and the carrying out of a newer one.
@@ -42,7 +42,7 @@
 }
 
 /// Carries an order out, if the gate lets it through.
-pub async fn carry_out(agent: &Agent, message: wire::Order) -> wire::Verdict {
+pub async fn execute(agent: &Agent, message: wire::Order) -> wire::Verdict {
     let mut gate = agent.orders.gate.lock().await;
     if message.action() == wire::Action::Query {
         let ruling = if gate.ready() { wire::Ruling::Done } else { wire::Ruling::Unready };
@@ -58,7 +58,7 @@
         digest: message.digest,
     };
     let ruling = match gate.check(&order) {
-        Ok(()) => obey(agent, &mut gate, &order, &message.map).await,
+        Ok(()) => apply(agent, &mut gate, &order, &message.map).await,
         Err(gate::Refusal::Unready) => wire::Ruling::Unready,
         Err(gate::Refusal::Stale(_)) => wire::Ruling::Stale,
         Err(gate::Refusal::Digest(_) | gate::Refusal::Unprepared(_)) => wire::Ruling::Failed,
@@ -81,7 +81,7 @@
     wire::Verdict { ruling: ruling.into(), fence: gate.fence().0 }
 }
 
-async fn obey(
+async fn apply(
     agent: &Agent,
     gate: &mut gate::Gate,
     order: &gate::Order,
@@ -122,18 +122,18 @@
         return;
     }
     loop {
-        if let Some(fence) = learn(&agent).await {
+        if let Some(fence) = read_fence(&agent).await {
             agent.orders.gate.lock().await.learn(fence);
             log::info!("fence learnt group={} fence={fence}", agent.settings.backend);
             return;
         }
-        tokio::time::sleep(LEARN_PAUSE).await;
+        tokio::time::sleep(FENCE_RETRY_PAUSE).await;
     }
 }
 
 /// The fence, from the platform or, while that is not to be reached, from
 /// another rank's agent: every map in force has passed all of them.
-async fn learn(agent: &Agent) -> Option<gate::Fence> {
+async fn read_fence(agent: &Agent) -> Option<gate::Fence> {
     let own = &agent.process.settings.process;
     let name = key::map(&own.deployment, &agent.settings.backend);
     if let Ok(entry) = agent.process.platform.get(&name).await {
@@ -143,19 +143,19 @@
     let others = list.hosts.iter().filter(|host| {
         host.backend == agent.settings.backend && host.rank.is_some() && host.id != own.host
     });
-    let calls = others.map(|host| ask(agent, host.address));
+    let calls = others.map(|host| query_fence(agent, host.address));
     let answers = futures_util::future::join_all(calls).await;
     answers.into_iter().flatten().max()
 }
 
-async fn ask(agent: &Agent, address: std::net::SocketAddr) -> Option<gate::Fence> {
+async fn query_fence(agent: &Agent, address: std::net::SocketAddr) -> Option<gate::Fence> {
     let mut client = agent.process.links.get(address).agent.clone();
     let order = wire::Order {
         group: agent.settings.backend.to_string(),
         action: wire::Action::Query.into(),
         ..wire::Order::default()
     };
-    let answer = tokio::time::timeout(ASK_TIMEOUT, client.command(order)).await;
+    let answer = tokio::time::timeout(QUERY_TIMEOUT, client.command(order)).await;
     let verdict = answer.ok()?.ok()?.into_inner();
     (verdict.ruling() == wire::Ruling::Done).then_some(gate::Fence(verdict.fence))
 }
--- a/daemon/src/agent/poll.rs
+++ b/daemon/src/agent/poll.rs
@@ -49,7 +49,7 @@
     }
 
     /// Takes a slot, if one is free.
-    pub fn enter(agent: &Arc<Agent>) -> Option<Slot> {
+    pub fn acquire(agent: &Arc<Agent>) -> Option<Slot> {
         {
             let mut inner = agent.load.lock();
             if inner.running >= inner.slots {
@@ -71,7 +71,7 @@
         self.reports.subscribe()
     }
 
-    fn set(&self, load: Option<server::Load>) {
+    fn set_server_load(&self, load: Option<server::Load>) {
         self.lock().server = load;
     }
 
@@ -83,7 +83,7 @@
             (inner.running, inner.slots, inner.server)
         };
         let load = server.unwrap_or_default();
-        let leaving = !agent.takes_work();
+        let leaving = !agent.accepts_work();
         let generation = agent.process.gossip.force.generation();
         self.reports.send_if_modified(|report| {
             let next = wire::Report {
@@ -115,7 +115,7 @@
         if let Err(error) = &load {
             log::debug!("load poll failed error=\"{error}\"");
         }
-        agent.load.set(load.ok());
+        agent.load.set_server_load(load.ok());
         agent.load.publish(&agent);
         // A bundle or host list may have this host leaving: that is reported at once.
         tokio::select! {
--- a/daemon/src/agent/run.rs
+++ b/daemon/src/agent/run.rs
@@ -18,13 +18,13 @@
 /// Header with the precedence, which model engines honour.
 const PRIORITY: &str = "x-priority";
 /// Frames that may wait for a slow caller before the backend server is held up.
-const BACKLOG: usize = 32;
+const FRAME_BUFFER: usize = 32;
 
 /// Frames of one attempt.
 pub type Frames = mpsc::Receiver<Result<wire::Frame, tonic::Status>>;
 
 /// Reads the id of an attempt.
-pub fn read_id(id: &wire::AttemptId) -> Option<attempt::Id> {
+pub fn parse_id(id: &wire::AttemptId) -> Option<attempt::Id> {
     let request = uuid::Uuid::from_slice(&id.request).ok()?;
     Some(attempt::Id { request, number: id.number, incarnation: id.incarnation })
 }
@@ -32,16 +32,17 @@
 /// Starts an attempt; its frames say what comes of it.
 pub fn start(agent: &Arc<Agent>, message: wire::Attempt) -> Result<Frames, tonic::Status> {
     let wire_id = message.id.clone().unwrap_or_default();
-    let id = read_id(&wire_id).ok_or(tonic::Status::invalid_argument("attempt without an id"))?;
-    let (sender, receiver) = mpsc::channel(BACKLOG);
+    let id = parse_id(&wire_id).ok_or(tonic::Status::invalid_argument("attempt without an id"))?;
+    let (sender, receiver) = mpsc::channel(FRAME_BUFFER);
     let history = &agent.process.history;
     let subject = id.request.to_string();
     match admit(agent, &message, id) {
-        Ok((slot, flight)) => {
+        Ok((slot, lifecycle_guard)) => {
             history.record(&subject, format!("attempt={} choice=run", id.number));
-            let guard = Guard { agent: agent.clone(), id, _slot: slot, _flight: flight };
-            let run = Run { agent: agent.clone(), id: wire_id, sender, guard };
-            tokio::spawn(run.carry_out(message));
+            let guard =
+                Guard { agent: agent.clone(), id, _slot: slot, _lifecycle_guard: lifecycle_guard };
+            let call = Call { agent: agent.clone(), id: wire_id, sender, guard };
+            tokio::spawn(call.execute(message));
         }
         Err(reason) => {
             let word = reason.as_str_name();
@@ -66,14 +67,14 @@
     if *message.backend != *agent.settings.backend {
         return Err(wire::Refusal::Backend);
     }
-    if !agent.takes_work() {
+    if !agent.accepts_work() {
         return Err(wire::Refusal::Leaving);
     }
     if message.budget_ms == 0 {
         return Err(wire::Refusal::Deadline);
     }
-    let flight = agent.process.life.enter().ok_or(wire::Refusal::Leaving)?;
-    let slot = poll::Load::enter(agent).ok_or(wire::Refusal::Full)?;
+    let lifecycle_guard = agent.process.lifecycle.enter().ok_or(wire::Refusal::Leaving)?;
+    let slot = poll::Load::acquire(agent).ok_or(wire::Refusal::Full)?;
     let expiry = clock::Wall::from_millis(message.expiry_ms);
     let now = agent.process.clock.wall();
     let started = lock(agent).start(id, expiry, now);
@@ -83,7 +84,7 @@
         attempt::Refusal::Expired => wire::Refusal::Deadline,
         attempt::Refusal::Full => wire::Refusal::Full,
     })?;
-    Ok((slot, flight))
+    Ok((slot, lifecycle_guard))
 }
 
 /// The table of attempts.
@@ -96,7 +97,7 @@
     agent: Arc<Agent>,
     id: attempt::Id,
     _slot: poll::Slot,
-    _flight: life::InFlight,
+    _lifecycle_guard: life::InFlight,
 }
 
 impl Drop for Guard {
@@ -105,15 +106,15 @@
     }
 }
 
-struct Run {
+struct Call {
     agent: Arc<Agent>,
     id: wire::AttemptId,
     sender: mpsc::Sender<Result<wire::Frame, tonic::Status>>,
     guard: Guard,
 }
 
-impl Run {
-    async fn carry_out(self, message: wire::Attempt) {
+impl Call {
+    async fn execute(self, message: wire::Attempt) {
         self.agent.process.metrics.attempts.inc();
         let budget = Duration::from_millis(u64::from(message.budget_ms));
         let caller = self.sender.clone();
@@ -128,18 +129,18 @@
     async fn relay(&self, message: wire::Attempt) {
         let Some(request) = self.request(message) else {
             lock(&self.agent).withdraw(self.guard.id);
-            self.refuse(wire::Refusal::Backend).await;
+            self.send_refusal(wire::Refusal::Backend).await;
             return;
         };
         match self.agent.server.send(request).await {
-            Ok(response) => self.pass_on(response).await,
+            Ok(response) => self.relay_response(response).await,
             Err(server::Error::Connect) => {
                 lock(&self.agent).withdraw(self.guard.id);
-                self.refuse(wire::Refusal::Unreachable).await;
+                self.send_refusal(wire::Refusal::Unreachable).await;
             }
             Err(error) => {
-                let server_end = self.agent.server.ended().await;
-                self.break_off(&error.to_string(), server_end).await;
+                let server_end = self.agent.server.detect_end().await;
+                self.send_broken(&error.to_string(), server_end).await;
             }
         }
     }
@@ -159,16 +160,16 @@
         Some(request)
     }
 
-    async fn pass_on(&self, response: http::Response<Incoming>) {
-        if !self.echoes(&response) {
-            self.break_off("the backend server answered another request", None).await;
+    async fn relay_response(&self, response: http::Response<Incoming>) {
+        if !self.matches_request(&response) {
+            self.send_broken("the backend server answered another request", None).await;
             return;
         }
         let header = |(name, value): (&http::HeaderName, &http::HeaderValue)| wire::Header {
             name: name.as_str().to_owned(),
             value: value.as_bytes().to_vec().into(),
         };
-        let kept = response.headers().iter().filter(|(name, _)| !is_hop(name));
+        let kept = response.headers().iter().filter(|(name, _)| !is_hop_by_hop(name));
         let head = wire::Head {
             status: u32::from(response.status().as_u16()),
             headers: kept.map(header).collect(),
@@ -182,8 +183,8 @@
                 }
                 Ok(_) => {}
                 Err(error) => {
-                    let server_end = self.agent.server.ended().await;
-                    self.break_off(&error.to_string(), server_end).await;
+                    let server_end = self.agent.server.detect_end().await;
+                    self.send_broken(&error.to_string(), server_end).await;
                     return;
                 }
             }
@@ -193,19 +194,19 @@
     }
 
     /// Whether the answer is to this request: whoever echoes an id must echo this one.
-    fn echoes(&self, response: &http::Response<Incoming>) -> bool {
+    fn matches_request(&self, response: &http::Response<Incoming>) -> bool {
         let Some(echo) = response.headers().get(REQUEST_ID) else { return true };
         let own = uuid::Uuid::from_slice(&self.id.request).map(|id| id.to_string());
         own.is_ok_and(|own| echo.as_bytes() == own.as_bytes())
     }
 
-    async fn refuse(&self, reason: wire::Refusal) {
+    async fn send_refusal(&self, reason: wire::Refusal) {
         let refused =
             wire::Refused { reason: reason.into(), report: Some(self.agent.load.report()) };
         self.send(wire::frame::Kind::Refused(refused)).await;
     }
 
-    async fn break_off(&self, reason: &str, server_end: Option<u64>) {
+    async fn send_broken(&self, reason: &str, server_end: Option<u64>) {
         let broken = wire::Broken { reason: reason.to_owned(), server_end };
         self.send(wire::frame::Kind::Broken(broken)).await;
     }
@@ -218,7 +219,8 @@
 }
 
 /// Headers that belong to one connection.
-fn is_hop(name: &http::HeaderName) -> bool {
-    const HOP: [&str; 5] = ["connection", "keep-alive", "te", "transfer-encoding", "upgrade"];
-    HOP.contains(&name.as_str())
+fn is_hop_by_hop(name: &http::HeaderName) -> bool {
+    const HOP_BY_HOP: [&str; 5] =
+        ["connection", "keep-alive", "te", "transfer-encoding", "upgrade"];
+    HOP_BY_HOP.contains(&name.as_str())
 }
--- a/daemon/src/agent/server.rs
+++ b/daemon/src/agent/server.rs
@@ -64,7 +64,7 @@
 struct Ends {
     count: u64,
     /// Whether it took no connection at the last look.
-    away: bool,
+    unreachable: bool,
 }
 
 /// A client of the backend server.
@@ -102,19 +102,19 @@
     /// After a call that broke off: which end of the backend server it was, if
     /// that takes no connection. Calls that broke with the same end get the same
     /// number.
-    pub async fn ended(&self) -> Option<u64> {
+    pub async fn detect_end(&self) -> Option<u64> {
         let connected = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(self.address));
-        let lives = matches!(connected.await, Ok(Ok(_)));
+        let connects = matches!(connected.await, Ok(Ok(_)));
         // Each change is one assignment.
         let mut ends = self.ends.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
-        let known = std::mem::replace(&mut ends.away, !lives);
-        ends.count += u64::from(!lives && !known);
-        (!lives).then_some(ends.count)
+        let was_unreachable = std::mem::replace(&mut ends.unreachable, !connects);
+        ends.count += u64::from(!connects && !was_unreachable);
+        (!connects).then_some(ends.count)
     }
 
     /// The backend server answered: its next end is another one.
-    fn seen_alive(&self) {
-        self.ends.lock().unwrap_or_else(std::sync::PoisonError::into_inner).away = false;
+    fn record_response(&self) {
+        self.ends.lock().unwrap_or_else(std::sync::PoisonError::into_inner).unreachable = false;
     }
 
     /// Sends a request and waits for the head of the answer.
@@ -128,7 +128,7 @@
     ) -> Result<http::Response<Incoming>, Error> {
         let answer = self.http.request(request).await;
         if answer.is_ok() {
-            self.seen_alive();
+            self.record_response();
         }
         answer.map_err(|error| match error.is_connect() {
             true => Error::Connect,
--- a/daemon/src/agent/service.rs
+++ b/daemon/src/agent/service.rs
@@ -13,7 +13,7 @@
 use crate::agent::{Agent, keeper, orders, run, server};
 
 /// Longest time between two reports.
-const BEAT: Duration = Duration::from_secs(1);
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 /// Longest wait for the backend server's counts.
 const COUNTS_TIMEOUT: Duration = Duration::from_secs(1);
 
@@ -49,7 +49,7 @@
         request: Request<wire::Revocation>,
     ) -> Result<Response<wire::Fate>, Status> {
         let message = request.into_inner();
-        let id = message.id.as_ref().and_then(run::read_id);
+        let id = message.id.as_ref().and_then(run::parse_id);
         let id = id.ok_or(Status::invalid_argument("revocation without an id"))?;
         let expiry = clock::Wall::from_millis(message.expiry_ms);
         let phase = run::lock(&self.agent).revoke(id, expiry, self.agent.process.clock.wall());
@@ -78,7 +78,7 @@
                 tokio::time::sleep(spacing).await;
                 tokio::select! {
                     changed = reports.changed() => if changed.is_err() { return },
-                    _ = tokio::time::sleep(BEAT.saturating_sub(spacing)) => {}
+                    _ = tokio::time::sleep(REPORT_INTERVAL.saturating_sub(spacing)) => {}
                     _ = sender.closed() => return,
                 }
             }
@@ -89,9 +89,9 @@
     async fn claim(&self, request: Request<wire::Key>) -> Result<Response<wire::Grant>, Status> {
         let message = request.into_inner();
         let claim = home::keeper::Claim {
-            key: read_key(&message.key)?,
+            key: parse_key(&message.key)?,
             fingerprint: message.fingerprint,
-            token: read_token(&message.token)?,
+            token: parse_token(&message.token)?,
         };
         let standing = keeper::claim(&self.agent, claim);
         Ok(Response::new(wire::Grant { standing: standing.into() }))
@@ -107,8 +107,8 @@
             wire::Outcome::NotRun => home::keeper::Outcome::NotRun,
             wire::Outcome::Unknown | wire::Outcome::Unspecified => home::keeper::Outcome::Unknown,
         };
-        let token = read_token(&message.token)?;
-        let known = keeper::lock(&self.agent).settle(read_key(&message.key)?, token, outcome);
+        let token = parse_token(&message.token)?;
+        let known = keeper::lock(&self.agent).settle(parse_key(&message.key)?, token, outcome);
         Ok(Response::new(wire::Receipt { known }))
     }
 
@@ -128,7 +128,7 @@
         &self,
         request: Request<wire::Order>,
     ) -> Result<Response<wire::Verdict>, Status> {
-        Ok(Response::new(orders::carry_out(&self.agent, request.into_inner()).await))
+        Ok(Response::new(orders::execute(&self.agent, request.into_inner()).await))
     }
 
     async fn popularity(&self, _: Request<wire::Ask>) -> Result<Response<wire::Counts>, Status> {
@@ -143,11 +143,11 @@
     }
 }
 
-fn read_key(bytes: &[u8]) -> Result<home::key::Key, Status> {
+fn parse_key(bytes: &[u8]) -> Result<home::key::Key, Status> {
     home::key::Key::from_bytes(bytes).map_err(|error| Status::invalid_argument(error.to_string()))
 }
 
-fn read_token(bytes: &[u8]) -> Result<u128, Status> {
+fn parse_token(bytes: &[u8]) -> Result<u128, Status> {
     let bytes: [u8; 16] =
         bytes.try_into().map_err(|_| Status::invalid_argument("a token has 16 bytes"))?;
     Ok(u128::from_be_bytes(bytes))
--- a/daemon/src/entry.rs
+++ b/daemon/src/entry.rs
@@ -60,7 +60,7 @@
         .send_compressed(CompressionEncoding::Gzip)
         .max_decoding_message_size(wire::MAX_MESSAGE)
         .max_encoding_message_size(wire::MAX_MESSAGE);
-    let service = tonic::service::interceptor::InterceptedService::new(service, key.check());
+    let service = tonic::service::interceptor::InterceptedService::new(service, key.verifier());
     let router = tonic::transport::Server::builder().add_service(service);
     let incoming = TcpIncoming::from(peers).with_nodelay(Some(true));
     tokio::spawn(async move {
--- a/daemon/src/entry/assignment.rs
+++ b/daemon/src/entry/assignment.rs
@@ -22,7 +22,7 @@
 pub async fn run(entry: Arc<Entry>) {
     loop {
         tokio::time::sleep(clock::jitter(PAUSE, 0.5..1.5)).await;
-        if wanted(&entry.process) && leader::is_me(&entry.process, TASK, |_| true).await {
+        if wanted(&entry.process) && leader::is_self(&entry.process, TASK, |_| true).await {
             tend(&entry.process).await;
         }
     }
@@ -91,5 +91,5 @@
 
 fn take(process: &process::Process, entry: store::Entry) {
     let kind = wire::Kind::Homes.into();
-    process.take(wire::Record { kind, revision: entry.revision, value: entry.value });
+    process.apply_record(wire::Record { kind, revision: entry.revision, value: entry.value });
 }
--- a/daemon/src/entry/drive.rs
+++ b/daemon/src/entry/drive.rs
@@ -106,7 +106,7 @@
         return;
     }
     let task = format!("map/{name}");
-    if !leader::is_me(&entry.process, &task, |host| host.zone == zone).await {
+    if !leader::is_self(&entry.process, &task, |host| host.zone == zone).await {
         entry.groups.lock().remove(name);
         return;
     }
--- a/daemon/src/entry/flow.rs
+++ b/daemon/src/entry/flow.rs
@@ -46,7 +46,7 @@
     request: http::Request<Incoming>,
 ) -> Result<http::Response<relay::Body>, Refusal> {
     let process = &entry.process;
-    let flight = process.life.enter().ok_or(Refusal::NotServing)?;
+    let flight = process.lifecycle.enter().ok_or(Refusal::NotServing)?;
     let bundle = process.gossip.force.bundle().ok_or(Refusal::NotServing)?;
     if request.uri().path() == MODELS_PATH {
         return models(&request, &bundle);
--- a/daemon/src/entry/follow.rs
+++ b/daemon/src/entry/follow.rs
@@ -44,7 +44,7 @@
     let zone = &settings.zone;
     let own = rate::Peer { name: settings.host.clone(), zone: zone.clone() };
     entry.dispatcher.refresh(&bundle.content, &list, &own);
-    entry.process.links.keep(|address| list.hosts.iter().any(|host| host.address == address));
+    entry.process.links.retain(|address| list.hosts.iter().any(|host| host.address == address));
     let mut listed = entry.dispatcher.listed();
     listed.sort_by_key(|(server, target)| (target.zone != *zone, *server));
     let most = entry.process.settings.entry.as_ref().map_or(usize::MAX, |own| own.max_followed);
--- a/daemon/src/entry/server.rs
+++ b/daemon/src/entry/server.rs
@@ -35,7 +35,7 @@
 async fn serve(entry: Arc<Entry>, stream: TcpStream) {
     // Tokens are small and must not wait for one another.
     stream.set_nodelay(true).unwrap_or_default();
-    let mut phase = entry.process.life.subscribe();
+    let mut phase = entry.process.lifecycle.subscribe();
     let service = hyper::service::service_fn(move |request| flow::handle(entry.clone(), request));
     let mut builder = auto::Builder::new(TokioExecutor::new());
     builder
--- a/daemon/src/exchange.rs
+++ b/daemon/src/exchange.rs
@@ -14,7 +14,7 @@
 /// One exchange in this many goes outside of the usual circle: to another
 /// zone, or to an agent, so that what one side of a healed cut has reaches
 /// the other, and an entry host finds what only agents still hold.
-const FAR: u32 = 4;
+const REMOTE_RATIO: u32 = 4;
 /// Longest time for one exchange.
 const TIMEOUT: Duration = Duration::from_secs(2);
 
@@ -22,7 +22,7 @@
 pub async fn run(process: Arc<process::Process>) {
     let pause = Duration::from_millis(process.settings.process.exchange_ms);
     loop {
-        if let Some(address) = pick(&process)
+        if let Some(address) = select_peer(&process)
             && let Err(status) = exchange(&process, address).await
         {
             log::debug!("exchange failed peer={address} status={}", status.code());
@@ -33,20 +33,20 @@
 }
 
 /// A peer by lot: mostly an entry host of the own zone.
-fn pick(process: &process::Process) -> Option<SocketAddr> {
+fn select_peer(process: &process::Process) -> Option<SocketAddr> {
     let own = &process.settings.process;
     let list = process.gossip.hosts();
     let others = || list.hosts.iter().filter(|host| host.id != own.host);
-    let near = others()
+    let local = others()
         .filter(|host| host.zone == own.zone && host.role == hosts::Role::Entry)
         .map(|host| host.address);
-    let mut circle: Vec<SocketAddr> = near.collect();
-    let far = circle.is_empty() || rand::rng().random_ratio(1, FAR);
-    if far {
+    let mut candidates: Vec<SocketAddr> = local.collect();
+    let remote = candidates.is_empty() || rand::rng().random_ratio(1, REMOTE_RATIO);
+    if remote {
         let seeds = own.seeds.iter().copied().filter(|seed| *seed != own.peer_address);
-        circle = others().map(|host| host.address).chain(seeds).collect();
+        candidates = others().map(|host| host.address).chain(seeds).collect();
     }
-    circle.choose(&mut rand::rng()).copied()
+    candidates.choose(&mut rand::rng()).copied()
 }
 
 async fn exchange(process: &process::Process, address: SocketAddr) -> Result<(), tonic::Status> {
@@ -60,7 +60,7 @@
         call.await.map_err(|_| tonic::Status::deadline_exceeded("exchange"))??.into_inner();
     let wanted: Vec<wire::Kind> = update.wanted().collect();
     for record in update.records {
-        process.take(record);
+        process.apply_record(record);
     }
     if !wanted.is_empty() {
         let records = process.gossip.records(wanted.into_iter());
--- a/daemon/src/explain.rs
+++ b/daemon/src/explain.rs
@@ -32,7 +32,7 @@
     }
 
     /// The decisions about one subject, oldest first.
-    pub fn about(&self, subject: &str) -> Vec<String> {
+    pub fn entries(&self, subject: &str) -> Vec<String> {
         let lines = self.lock();
         let matching = lines.iter().filter(|line| *line.subject == *subject);
         matching.map(|line| line.text.to_string()).collect()
--- a/daemon/src/force.rs
+++ b/daemon/src/force.rs
@@ -22,10 +22,10 @@
 #[derive(Debug, thiserror::Error)]
 pub enum Refusal {
     /// It is not newer than the one in force.
-    #[error("generation {heard} is not above {current}")]
-    Old {
+    #[error("generation {received} is not above {current}")]
+    Outdated {
         /// Generation heard of.
-        heard: generation::Generation,
+        received: generation::Generation,
         /// Generation in force.
         current: generation::Generation,
     },
@@ -66,24 +66,24 @@
     /// # Errors
     ///
     /// A [`Refusal`]; what was in force stays so.
-    pub fn offer(&self, json: &Bytes) -> Result<Arc<Bundle>, Refusal> {
+    pub fn apply(&self, json: &Bytes) -> Result<Arc<Bundle>, Refusal> {
         let envelope = envelope::Envelope::parse(json)?;
-        let heard = generation::Generation(envelope.roll.generation);
+        let received = generation::Generation(envelope.roll.generation);
         let current = self.lock().current();
-        if heard <= current {
-            return Err(Refusal::Old { heard, current });
+        if received <= current {
+            return Err(Refusal::Outdated { received, current });
         }
         let content = envelope.open(&self.keyring)?;
         if content.deployment != self.deployment {
             return Err(Refusal::Deployment(content.deployment));
         }
         let digest = envelope.digest();
-        let bundle = Arc::new(Bundle { generation: heard, digest, content });
+        let bundle = Arc::new(Bundle { generation: received, digest, content });
         // Two envelopes may have been verified at a time: the gate decides,
         // and the store happens under its lock so that it cannot fall back.
         let mut gate = self.lock();
-        if !gate.accept(heard) {
-            return Err(Refusal::Old { heard, current: gate.current() });
+        if !gate.accept(received) {
+            return Err(Refusal::Outdated { received, current: gate.current() });
         }
         self.bundle.store(Some(bundle.clone()));
         drop(gate);
--- a/daemon/src/gossip.rs
+++ b/daemon/src/gossip.rs
@@ -100,10 +100,10 @@
     }
 
     /// Takes a record if it is newer and holds. Returns whether it was taken.
-    pub fn take(
+    pub fn apply(
         &self,
         record: wire::Record,
-        life: &life::Life,
+        lifecycle: &life::Lifecycle,
         history: &explain::History,
     ) -> bool {
         let kind = record.kind();
@@ -111,7 +111,7 @@
         if held.get(&kind).is_some_and(|held| held.revision >= record.revision) {
             return false;
         }
-        if !self.apply(kind, &record, life, history) {
+        if !self.apply_value(kind, &record, lifecycle, history) {
             return false;
         }
         held.insert(kind, Held { revision: record.revision, value: record.value });
@@ -120,20 +120,20 @@
         true
     }
 
-    fn apply(
+    fn apply_value(
         &self,
         kind: wire::Kind,
         record: &wire::Record,
-        life: &life::Life,
+        lifecycle: &life::Lifecycle,
         history: &explain::History,
     ) -> bool {
         match kind {
             wire::Kind::Unspecified => false,
-            wire::Kind::Bundle => match self.force.offer(&record.value) {
+            wire::Kind::Bundle => match self.force.apply(&record.value) {
                 Ok(bundle) => {
                     let text = format!("generation={} choice=in-force", bundle.generation);
                     history.record("bundle", text);
-                    life.handle(lifecycle::Event::Ready);
+                    lifecycle.handle(lifecycle::Event::Ready);
                     true
                 }
                 Err(refusal) => {
--- a/daemon/src/leader.rs
+++ b/daemon/src/leader.rs
@@ -14,10 +14,10 @@
 use crate::process;
 
 /// Longest wait for the answer of a candidate.
-const PATIENCE: Duration = Duration::from_secs(1);
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Whether this process should do the task, among the entry hosts that `eligible` admits.
-pub async fn is_me(
+pub async fn is_self(
     process: &Arc<process::Process>,
     task: &str,
     eligible: impl Fn(&hosts::Host) -> bool,
@@ -35,7 +35,7 @@
         }
         let candidate = candidates.iter().find(|host| *host.id == *id);
         if let Some(host) = candidate
-            && answers(process, host).await
+            && responds(process, host).await
         {
             return false;
         }
@@ -43,12 +43,12 @@
     false
 }
 
-async fn answers(process: &process::Process, host: &hosts::Host) -> bool {
+async fn responds(process: &process::Process, host: &hosts::Host) -> bool {
     let mut peer = process.links.get(host.address).peer.clone();
     let offer = wire::Offer {
         host: process.settings.process.host.to_string(),
         versions: process.gossip.versions(),
     };
-    let call = tokio::time::timeout(PATIENCE, peer.exchange(offer)).await;
+    let call = tokio::time::timeout(CALL_TIMEOUT, peer.exchange(offer)).await;
     matches!(call, Ok(Ok(_)))
 }
--- a/daemon/src/life.rs
+++ b/daemon/src/life.rs
@@ -7,7 +7,7 @@
 use tokio::sync::watch;
 
 /// The machine, the count of requests in flight, and who waits for a change.
-pub struct Life {
+pub struct Lifecycle {
     inner: Mutex<Inner>,
     phase: watch::Sender<lifecycle::Phase>,
 }
@@ -17,17 +17,17 @@
     in_flight: usize,
 }
 
-impl Default for Life {
-    fn default() -> Life {
+impl Default for Lifecycle {
+    fn default() -> Lifecycle {
         let machine = lifecycle::Lifecycle::machine();
-        Life {
+        Lifecycle {
             inner: Mutex::new(Inner { machine, in_flight: 0 }),
             phase: watch::Sender::new(lifecycle::Phase::Starting),
         }
     }
 }
 
-impl Life {
+impl Lifecycle {
     /// Hands the machine an event.
     pub fn handle(&self, event: lifecycle::Event) {
         let mut inner = self.lock();
@@ -52,7 +52,7 @@
 
     /// Counts a request until the guard is dropped. `None` where the process
     /// takes no new work: the check and the count are one step.
-    pub fn enter(self: &Arc<Life>) -> Option<InFlight> {
+    pub fn enter(self: &Arc<Lifecycle>) -> Option<InFlight> {
         let mut inner = self.lock();
         if self.phase() != lifecycle::Phase::Serving {
             return None;
@@ -60,7 +60,7 @@
         inner.in_flight += 1;
         let count = inner.in_flight;
         inner.machine.handle(&lifecycle::Event::InFlight(count));
-        Some(InFlight { life: self.clone() })
+        Some(InFlight { lifecycle: self.clone() })
     }
 
     fn publish(&self, inner: &Inner) {
@@ -75,15 +75,15 @@
 
 /// A request in flight; dropping it ends it.
 pub struct InFlight {
-    life: Arc<Life>,
+    lifecycle: Arc<Lifecycle>,
 }
 
 impl Drop for InFlight {
     fn drop(&mut self) {
-        let mut inner = self.life.lock();
+        let mut inner = self.lifecycle.lock();
         inner.in_flight -= 1;
         let count = inner.in_flight;
         inner.machine.handle(&lifecycle::Event::InFlight(count));
-        self.life.publish(&inner);
+        self.lifecycle.publish(&inner);
     }
 }
--- a/daemon/src/link.rs
+++ b/daemon/src/link.rs
@@ -18,7 +18,7 @@
 const KEEP_ALIVE: (Duration, Duration) = (Duration::from_secs(2), Duration::from_secs(3));
 
 /// A channel whose calls bear the deployment's key.
-pub type Keyed = InterceptedService<Channel, Key>;
+pub type Transport = InterceptedService<Channel, Key>;
 
 /// The deployment's key, as callers send it and servers check it.
 #[derive(Clone)]
@@ -42,8 +42,8 @@
     }
 
     /// The check for servers.
-    pub fn check(&self) -> Check {
-        Check { key: self.clone() }
+    pub fn verifier(&self) -> Verifier {
+        Verifier { key: self.clone() }
     }
 }
 
@@ -59,11 +59,11 @@
 
 /// Refuses calls without the deployment's key.
 #[derive(Clone)]
-pub struct Check {
+pub struct Verifier {
     key: Key,
 }
 
-impl tonic::service::Interceptor for Check {
+impl tonic::service::Interceptor for Verifier {
     fn call(&mut self, request: tonic::Request<()>) -> Result<tonic::Request<()>, tonic::Status> {
         let given = request.metadata().get(wire::KEY_ENTRY);
         let given = given.map_or(&b""[..], |value| value.as_encoded_bytes());
@@ -79,9 +79,9 @@
 #[derive(Clone)]
 pub struct Link {
     /// Every process serves this.
-    pub peer: wire::peer_client::PeerClient<Keyed>,
+    pub peer: wire::peer_client::PeerClient<Transport>,
     /// Agents serve this.
-    pub agent: wire::agent_client::AgentClient<Keyed>,
+    pub agent: wire::agent_client::AgentClient<Transport>,
 }
 
 /// The links of this process, one for each address.
@@ -105,7 +105,7 @@
     }
 
     /// Drops the links to addresses that are not in the host list any more.
-    pub fn keep(&self, wanted: impl Fn(SocketAddr) -> bool) {
+    pub fn retain(&self, wanted: impl Fn(SocketAddr) -> bool) {
         let mut links = self.links.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
         links.retain(|address, _| wanted(*address));
     }
--- a/daemon/src/metrics.rs
+++ b/daemon/src/metrics.rs
@@ -36,9 +36,9 @@
     /// Generation in force.
     pub generation: Gauge,
     /// Calls to the platform.
-    pub platform: Family<Call, Gauge>,
+    pub platform_calls: Family<Call, Gauge>,
     /// Bytes of records taken from and handed to peers.
-    pub exchanged: Counter,
+    pub exchanged_bytes: Counter,
     /// Changes of expert maps that this process brought in force.
     pub map_changes: Counter,
 }
@@ -52,8 +52,8 @@
         registry.register("dropped_frames", "Late or foreign frames", self.dropped_frames.clone());
         registry.register("in_flight", "Requests in flight", self.in_flight.clone());
         registry.register("generation", "Generation in force", self.generation.clone());
-        registry.register("platform_calls", "Calls to the platform", self.platform.clone());
-        registry.register("exchanged_bytes", "Bytes of records", self.exchanged.clone());
+        registry.register("platform_calls", "Calls to the platform", self.platform_calls.clone());
+        registry.register("exchanged_bytes", "Bytes of records", self.exchanged_bytes.clone());
         registry.register("map_changes", "Expert maps brought in force", self.map_changes.clone());
         let mut out = String::new();
         // Writing to a string cannot fail.
--- a/daemon/src/peer.rs
+++ b/daemon/src/peer.rs
@@ -32,7 +32,7 @@
 
     async fn push(&self, request: Request<wire::Update>) -> Result<Response<wire::Ask>, Status> {
         for record in request.into_inner().records {
-            self.process.take(record);
+            self.process.apply_record(record);
         }
         Ok(Response::new(wire::Ask {}))
     }
@@ -48,7 +48,7 @@
         &self,
         request: Request<wire::Subject>,
     ) -> Result<Response<wire::Explanation>, Status> {
-        let lines = self.process.history.about(&request.into_inner().request);
+        let lines = self.process.history.entries(&request.into_inner().request);
         Ok(Response::new(wire::Explanation { lines }))
     }
 }
--- a/daemon/src/process.rs
+++ b/daemon/src/process.rs
@@ -23,7 +23,7 @@
     /// Its clocks.
     pub clock: clock::Clock,
     /// Its life.
-    pub life: Arc<life::Life>,
+    pub lifecycle: Arc<life::Lifecycle>,
     /// Bundle, host list and home table.
     pub gossip: gossip::Gossip,
     /// The platform.
@@ -63,7 +63,7 @@
         Ok(Process {
             incarnation: clock::incarnation(),
             clock: clock::Clock::start(),
-            life: Arc::default(),
+            lifecycle: Arc::default(),
             gossip: gossip::Gossip::new(force),
             platform: records::Client::new(
                 settings.platform.address,
@@ -79,10 +79,10 @@
     }
 
     /// Takes a record that was heard of, if it is newer.
-    pub fn take(&self, record: wire::Record) {
+    pub fn apply_record(&self, record: wire::Record) {
         let size = record.value.len() as u64;
-        if self.gossip.take(record, &self.life, &self.history) {
-            self.metrics.exchanged.inc_by(size);
+        if self.gossip.apply(record, &self.lifecycle, &self.history) {
+            self.metrics.exchanged_bytes.inc_by(size);
             self.metrics.generation.set(self.gossip.force.generation() as i64);
         }
     }
--- a/daemon/src/source.rs
+++ b/daemon/src/source.rs
@@ -18,11 +18,12 @@
 /// drawn by lot, so that the fleet does not return in step after an outage.
 const BACKOFF: (Duration, Duration) = (Duration::from_millis(250), Duration::from_secs(15));
 /// Pause of a process that does not watch, until it looks again whether it should.
-const IDLE: Duration = Duration::from_secs(2);
+const IDLE_PAUSE: Duration = Duration::from_secs(2);
 /// How long a process that knows nothing waits for its peers before it asks
 /// the platform, an entry host and an agent. Drawn by lot around these, so that a
 /// zone that returns does not ask as one.
-const PEERS_FIRST: (Duration, Duration) = (Duration::from_millis(300), Duration::from_secs(3));
+const PEERS_FIRST_DELAY: (Duration, Duration) =
+    (Duration::from_millis(300), Duration::from_secs(3));
 
 /// A watch of one kind of record.
 trait Watch: Send + Sync + 'static {
@@ -101,11 +102,11 @@
     let wait = Duration::from_millis(process.settings.platform.watch_ms);
     let mut cursor = 0;
     let mut backoff = BACKOFF.0;
-    tokio::time::sleep(peers_first(&process)).await;
+    tokio::time::sleep(peers_first_delay(&process)).await;
     loop {
         if !should_watch(&process) {
             cursor = 0;
-            tokio::time::sleep(IDLE).await;
+            tokio::time::sleep(IDLE_PAUSE).await;
             continue;
         }
         match W::next(&process, cursor, wait).await {
@@ -114,7 +115,7 @@
                 cursor = if next < cursor { 0 } else { next };
                 backoff = BACKOFF.0;
                 if let Some(record) = record {
-                    process.take(record);
+                    process.apply_record(record);
                 }
             }
             Err(error) => {
@@ -126,13 +127,13 @@
     }
 }
 
-fn peers_first(process: &process::Process) -> Duration {
+fn peers_first_delay(process: &process::Process) -> Duration {
     let own = &process.settings.process;
     match own.role {
         // Without seeds there is nobody else to ask.
         _ if own.seeds.is_empty() => Duration::ZERO,
-        file::Role::Entry => clock::jitter(PEERS_FIRST.0, 0.5..1.5),
-        file::Role::Agent => clock::jitter(PEERS_FIRST.1, 0.5..1.5),
+        file::Role::Entry => clock::jitter(PEERS_FIRST_DELAY.0, 0.5..1.5),
+        file::Role::Agent => clock::jitter(PEERS_FIRST_DELAY.1, 0.5..1.5),
     }
 }
 
--- a/daemon/src/stop.rs
+++ b/daemon/src/stop.rs
@@ -43,9 +43,9 @@
 ) {
     signals.next().await;
     let drain = process.settings.drain();
-    log::info!("drain in_flight={} limit_ms={}", process.life.in_flight(), drain.as_millis());
-    process.life.handle(lifecycle::Event::Stop);
-    let mut phase = process.life.subscribe();
+    log::info!("drain in_flight={} limit_ms={}", process.lifecycle.in_flight(), drain.as_millis());
+    process.lifecycle.handle(lifecycle::Event::Stop);
+    let mut phase = process.lifecycle.subscribe();
     let finished = async {
         begin().await;
         // The sender lives as long as the process.
@@ -54,14 +54,14 @@
     tokio::select! {
         _ = finished => {}
         _ = tokio::time::sleep(drain) => {
-            process.life.handle(lifecycle::Event::Expired);
-            log::warn!("drain expired in_flight={}", process.life.in_flight());
+            process.lifecycle.handle(lifecycle::Event::Expired);
+            log::warn!("drain expired in_flight={}", process.lifecycle.in_flight());
         }
-        _ = signals.next() => log::warn!("second signal in_flight={}", process.life.in_flight()),
+        _ = signals.next() => log::warn!("second signal in_flight={}", process.lifecycle.in_flight()),
     }
     // Answers that have just ended are still on their way out.
-    tokio::time::sleep(FLUSH).await;
+    tokio::time::sleep(FLUSH_DELAY).await;
 }
 
 /// Time for the last bytes to leave.
-const FLUSH: Duration = Duration::from_millis(50);
+const FLUSH_DELAY: Duration = Duration::from_millis(50);
