--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -1,12 +1,12 @@
 //! The loftcove daemon: `loftcoved run FILE`, `loftcoved gateway FILE`,
 //! `loftcoved sidecar FILE`, `loftcoved check FILE`, `loftcoved settings`.
 //!
-//! One program with two roles. As an `entry` ([`entry`]) it takes callers'
-//! requests and decides where each goes; as an `agent` ([`agent`]) it stands
-//! before one backend server and sees to it that no attempt starts twice and
-//! no stale order passes. What both share is in [`process`]; all decisions are
-//! made by the crate `loftcove-decision`, which this one feeds. The roles for
-//! the users' machines, gateway and sidecar, are crates of their own ([`system`]).
+//! `loftcoved run` has two roles. In the role `entry` ([`entry`]), the process accepts clients'
+//! requests and selects a backend server for each. In the role `agent` ([`agent`]), it is the proxy
+//! of one backend server and ensures that no attempt starts twice and no stale order is executed.
+//! [`process`] contains the state that both roles share. All decisions are made by the state
+//! machines of the crate `loftcove-decision`, which this crate supplies with events. The roles for
+//! the users' machines, gateway and sidecar, are separate crates ([`system`]).
 
 mod admin;
 mod agent;
@@ -36,7 +36,7 @@
 
 use loftcove_settings::{error, file, gateway};
 
-/// What the command line asks for.
+/// Subcommand of the command line.
 enum Command {
     Run(PathBuf),
     Gateway(PathBuf),
@@ -46,7 +46,7 @@
     Help,
 }
 
-/// Why the daemon ended badly.
+/// Reason why the daemon failed.
 #[derive(Debug, thiserror::Error)]
 enum Error {
     #[error("{0}")]
@@ -59,11 +59,11 @@
     Gateway(#[from] loftcove_gateway::Error),
     #[error(transparent)]
     Sidecar(#[from] loftcove_sidecar::Error),
-    #[error("{address}: {source}")]
+    #[error("cannot listen on {address}: {source}")]
     Listen { address: std::net::SocketAddr, source: std::io::Error },
-    #[error("the runtime could not start: {0}")]
+    #[error("cannot start the runtime: {0}")]
     Runtime(std::io::Error),
-    #[error("signals cannot be received: {0}")]
+    #[error("cannot install signal handlers: {0}")]
     Signal(std::io::Error),
 }
 
@@ -137,7 +137,8 @@
     block_on(workers, serve(process))?
 }
 
-/// Runs a future on a runtime with so many threads; other tasks end with it.
+/// Runs a future to completion on a runtime with `workers` threads. Other tasks are cancelled when
+/// it completes.
 fn block_on<T>(workers: usize, future: impl Future<Output = T>) -> Result<T, Error> {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(workers)
@@ -173,7 +174,8 @@
     Ok(())
 }
 
-/// Listens and says where, since the port may come from the system.
+/// Listens on an address and prints the bound one, because the operating system may have chosen the
+/// port.
 async fn listen(
     address: std::net::SocketAddr,
     what: &str,
