--- a/daemon/src/agent.rs
+++ b/daemon/src/agent.rs
@@ -1,8 +1,9 @@
-//! The role `agent`: stands before one backend server.
+//! The role `agent`: proxy of one backend server.
 //!
-//! [`service`] answers entry hosts, [`run`] carries an attempt out, [`poll`]
-//! keeps the backend server's load, [`keeper`] is its part as a home of
-//! idempotency keys, [`orders`] its gate for expert maps.
+//! [`service`] serves the calls of entry hosts and other agents. [`run`] executes an attempt on the
+//! backend server ([`server`]). [`poll`] polls and reports the backend server's load. [`keeper`] is
+//! the agent as a home of idempotency keys, which decides claims of them. [`orders`] executes orders
+//! for expert maps and rejects stale ones.
 
 mod keeper;
 mod orders;
@@ -23,39 +24,40 @@
 
 use crate::{Error, link, peer, process, stop};
 
-/// Attempts that are remembered at the most.
+/// Maximum number of attempts that are remembered.
 const MAX_ATTEMPTS: usize = 200_000;
-/// How long an agent that drains still answers questions about its attempts
-/// after the last has ended: its streams close, and no entry host asks more.
+/// Time for which a draining agent still answers calls about its attempts after the last one has
+/// ended. Its streams close in this time, and entry hosts send no more calls.
 const LINGER: Duration = Duration::from_millis(100);
 
-/// What the tasks of an agent share. Lock order: `attempts`, `keeper`, `gate`,
-/// each held for one step only and never together.
+/// State that the tasks of an agent share. Lock order: `attempts`, `keeper`, `gate`. Each is held
+/// for one step only, and never together with another.
 pub struct Agent {
     /// The process.
     pub process: Arc<process::Process>,
-    /// Its section of the settings.
+    /// The agent's section of the settings.
     pub settings: file::Agent,
-    /// Attempts.
+    /// Attempts that were started or revoked.
     pub attempts: Mutex<attempt::Table>,
-    /// Its part as a home.
+    /// State as a home and witness of idempotency keys.
     pub keeper: Mutex<home::keeper::Keeper>,
-    /// The backend server's load.
+    /// Load of the backend server.
     pub load: poll::Load,
-    /// Its gate for expert maps.
+    /// Gate for orders about expert maps.
     pub orders: orders::Orders,
-    /// The backend server.
+    /// Client of the backend server.
     pub server: server::Client,
 }
 
-/// Runs until a planned stop is over.
+/// Runs the agent until a planned stop has completed.
 ///
 /// # Errors
 ///
-/// An [`Error`] of an address or of the signals.
+/// Returns an [`Error`] if the signal handlers cannot be installed or the deployment's key cannot
+/// be sent.
 pub async fn run(process: Arc<process::Process>, peers: TcpListener) -> Result<(), Error> {
     let signals = stop::Signals::new()?;
-    // The role was checked with the settings.
+    // Reading the settings checks that the section of the role exists.
     let settings = process.settings.agent.clone().expect("an agent has its section");
     let agent = Arc::new(new(process.clone(), settings));
     tokio::spawn(poll::run(agent.clone()));
@@ -77,7 +79,7 @@
     let incoming = TcpIncoming::from(peers).with_nodelay(Some(true));
     tokio::spawn(async move {
         if let Err(error) = router.serve_with_incoming(incoming).await {
-            log::error!("agent service ended error=\"{error}\"");
+            log::error!("agent service failed error=\"{error}\"");
         }
     });
     let drain = agent.clone();
@@ -94,7 +96,7 @@
     let homes = &process.settings.homes;
     let skew = Duration::from_millis(homes.skew_ms);
     let attempts = attempt::Table::new(process.incarnation, skew, MAX_ATTEMPTS);
-    let me = home::table::Holder {
+    let local = home::table::Holder {
         host: process.settings.process.host.clone(),
         incarnation: process.incarnation,
     };
@@ -105,7 +107,7 @@
         window: Duration::from_millis(homes.window_ms),
         capacity: settings.max_keys,
     };
-    let keeper = home::keeper::Keeper::new(me, rules);
+    let keeper = home::keeper::Keeper::new(local, rules);
     let server = server::Client::new(settings.server_address);
     Agent {
         attempts: Mutex::new(attempts),
@@ -119,7 +121,7 @@
 }
 
 impl Agent {
-    /// Whether the agent takes new work.
+    /// Returns whether the agent accepts new work.
     pub fn accepts_work(&self) -> bool {
         let serving = self.process.lifecycle.phase() == lifecycle::Phase::Serving;
         serving && !self.process.leaving(&self.process.settings.process.host)
--- a/daemon/src/agent/keeper.rs
+++ b/daemon/src/agent/keeper.rs
@@ -1,4 +1,7 @@
-//! The agent's part as a home of idempotency keys, and as a witness.
+//! The agent as a home of idempotency keys, and as a witness of other homes.
+//!
+//! The state machine is [`home::keeper`]. The table of homes, its *slots*, *homes* and *witnesses*
+//! are defined in [`home::table`].
 
 use std::sync::{Arc, MutexGuard};
 use std::time::Duration;
@@ -12,19 +15,19 @@
 use crate::agent::Agent;
 use crate::{clock, homes};
 
-/// Looks at the platform in one lease: two may fail before it ends.
+/// Reads of the platform in one lease. Two of them may fail before the lease expires.
 const READS_PER_LEASE: u32 = 3;
-/// Longest time for handing slots over on a planned stop.
+/// Time limit for handing slots over on a planned stop.
 const RETIRE_TIMEOUT: Duration = Duration::from_secs(3);
-/// Tries to hand slots over on a planned stop.
+/// Maximum number of attempts to hand slots over on a planned stop.
 const RETIRE_ATTEMPTS: u32 = 5;
 
-/// The keeper.
+/// Locks the state machine.
 pub fn lock(agent: &Agent) -> MutexGuard<'_, home::keeper::Keeper> {
     agent.keeper.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
 }
 
-/// Weighs a claim.
+/// Decides a claim of a key.
 pub fn claim(agent: &Agent, claim: home::keeper::Claim) -> wire::Standing {
     let (now, wall) = (agent.process.clock.now(), agent.process.clock.wall());
     let mut keeper = lock(agent);
@@ -45,7 +48,8 @@
     }
 }
 
-/// Confirms, renews and takes over, as long as the table names this host.
+/// While the table lists this host, confirms its slots, renews the promises of their witnesses and
+/// takes over the slots of silent homes.
 pub async fn run(agent: Arc<Agent>) {
     let lease = Duration::from_millis(agent.process.settings.homes.lease_ms);
     let pause = lease / READS_PER_LEASE;
@@ -59,7 +63,7 @@
             renew_promises(&agent).await;
         }
         let became_listed = async {
-            // A table that newly names this host is read at once.
+            // The table is read immediately when it first lists this host.
             while changed.changed().await.is_ok() {
                 if is_listed(&agent) && !lock(&agent).listed() {
                     return;
@@ -73,7 +77,7 @@
     }
 }
 
-/// Whether the table names this host, as far as this process has heard.
+/// Returns whether the newest table that this process has received lists this host.
 fn is_listed(agent: &Agent) -> bool {
     let own = &agent.process.settings.process.host;
     let table = agent.process.gossip.homes();
@@ -84,7 +88,7 @@
     listed || lock(agent).listed()
 }
 
-/// Reads the table from the platform; the read confirms this host's slots.
+/// Reads the table from the platform. The read confirms this host's slots.
 async fn read_table(agent: &Agent) {
     let name = key::homes(&agent.process.settings.process.deployment);
     let began = agent.process.clock.now();
@@ -109,12 +113,12 @@
     agent.process.apply_record(wire::Record { kind, revision: entry.revision, value: entry.value });
 }
 
-/// Agents that may be homes.
+/// Returns the agents that may be homes.
 fn elect_candidates(agent: &Agent) -> Vec<home::table::Candidate> {
     homes::elect(&agent.process.gossip.hosts(), agent.process.settings.homes.per_zone)
 }
 
-/// Writes the change that is due, if one is; returns whether one was tried.
+/// Writes the change of the table that is due, if any. Returns whether a write was attempted.
 async fn write_due_change(agent: &Agent) -> bool {
     let Some((revision, mut next, cause)) = due_change(agent) else { return false };
     next.nonce = format!("{:032x}", rand::random::<u128>());
@@ -149,7 +153,7 @@
     keeper.settle_slots(wall).map(|next| (revision, next, "settle"))
 }
 
-/// Asks the witnesses of this home's slots for promises.
+/// Asks the witnesses of this home's slots to renew their promises not to take the slots over.
 async fn renew_promises(agent: &Agent) {
     let limit = Duration::from_millis(agent.process.settings.homes.lease_ms) / READS_PER_LEASE;
     let witnesses = lock(agent).witnesses();
@@ -170,9 +174,9 @@
     futures_util::future::join_all(calls).await;
 }
 
-/// Stops granting and hands the slots to their witnesses, on a planned stop. A
-/// platform that is not to be reached holds the stop up for a moment only:
-/// the witnesses then take over by themselves.
+/// Stops granting keys and hands the slots over to their witnesses, on a planned stop. An
+/// unreachable platform delays the stop by [`RETIRE_TIMEOUT`] at most. The witnesses then take the
+/// slots over on their own, because this home no longer renews its promises.
 pub async fn retire(agent: &Agent) {
     if tokio::time::timeout(RETIRE_TIMEOUT, hand_over_slots(agent)).await.is_err() {
         log::warn!("homes not handed over");
@@ -192,7 +196,8 @@
         let value: Bytes = serde_json::to_vec(&next).unwrap_or_default().into();
         let written = agent.process.platform.swap(&name, revision, value).await;
         agent.process.history.record("homes", format!("choice=hand-over result={written:?}"));
-        // Reading back settles a lost answer and passes the news on.
+        // The read shows whether a write without a response succeeded, and applies the new table
+        // so that peers receive it.
         read_table(agent).await;
     }
 }
--- a/daemon/src/agent/orders.rs
+++ b/daemon/src/agent/orders.rs
@@ -1,4 +1,7 @@
-//! The agent's gate for orders about the expert map.
+//! Executes orders about the expert map, unless they are stale.
+//!
+//! A *fence* is the revision of the group's record in the platform that an order was made under.
+//! The agent rejects orders with a lower fence than the highest one received ([`gate::Gate`]).
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,35 +16,36 @@
 
 use crate::agent::Agent;
 
-/// Longest wait for the backend server to prepare a map: it loads weights.
+/// Time limit for the backend server to prepare a map, which includes loading weights.
 const PREPARE_TIMEOUT: Duration = Duration::from_secs(20);
-/// Longest wait for the backend server to go over to a prepared map.
+/// Time limit for the backend server to switch to a prepared map.
 const ACTIVATE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Pause between two tries to learn the fence.
+/// Pause between two attempts to read the fence.
 const FENCE_RETRY_PAUSE: Duration = Duration::from_millis(250);
-/// Longest wait for another rank's agent.
+/// Time limit for a query to another rank's agent.
 const QUERY_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The gate. It is held while an order is carried out, so that a stale one
-/// cannot pass between the weighing and the carrying out of a newer one.
+/// The gate of a rank. It stays locked while an order is executed, because a stale order must not
+/// be executed between the check and the execution of a newer one.
 #[derive(Debug, Default)]
 pub struct Orders {
     gate: Mutex<gate::Gate>,
 }
 
-/// What the backend server takes to prepare a map.
+/// Body of a request to prepare a map.
 #[derive(Serialize)]
 struct Prepare<'a> {
     epoch: u64,
     layers: &'a Vec<Vec<Vec<u32>>>,
 }
 
+/// Body of a request to switch to a prepared map.
 #[derive(Serialize)]
 struct Activate {
     epoch: u64,
 }
 
-/// Carries an order out, if the gate lets it through.
+/// Executes an order if the gate accepts it. A query only returns the fence.
 pub async fn execute(agent: &Agent, message: wire::Order) -> wire::Verdict {
     let mut gate = agent.orders.gate.lock().await;
     if message.action() == wire::Action::Query {
@@ -81,6 +85,7 @@
     wire::Verdict { ruling: ruling.into(), fence: gate.fence().0 }
 }
 
+/// Sends an accepted order to the backend server.
 async fn apply(
     agent: &Agent,
     gate: &mut gate::Gate,
@@ -104,7 +109,7 @@
     wire::Ruling::Done
 }
 
-/// Has the backend server prepare a map, if it is the one that the order names.
+/// Has the backend server prepare a map, if its epoch and digest are those of the order.
 async fn prepare(agent: &Agent, order: &gate::Order, map: &Bytes) -> bool {
     let Ok(map) = serde_json::from_slice::<record::Map>(map) else { return false };
     let named = map.epoch == order.epoch && map.layout.digest() == order.digest;
@@ -116,7 +121,7 @@
     agent.server.order("/control/prepare", body.into(), PREPARE_TIMEOUT).await.is_ok()
 }
 
-/// Learns the group's fence after the start.
+/// Reads the group's fence after the start of the process. The gate rejects orders until then.
 pub async fn run(agent: Arc<Agent>) {
     if agent.settings.rank.is_none() {
         return;
@@ -124,15 +129,15 @@
     loop {
         if let Some(fence) = read_fence(&agent).await {
             agent.orders.gate.lock().await.learn(fence);
-            log::info!("fence learnt group={} fence={fence}", agent.settings.backend);
+            log::info!("fence observed group={} fence={fence}", agent.settings.backend);
             return;
         }
         tokio::time::sleep(FENCE_RETRY_PAUSE).await;
     }
 }
 
-/// The fence, from the platform or, while that is not to be reached, from
-/// another rank's agent: every map in force has passed all of them.
+/// Reads the fence from the platform or, if the platform is unreachable, from the agents of the
+/// other ranks. Every map in force has passed the gates of all ranks.
 async fn read_fence(agent: &Agent) -> Option<gate::Fence> {
     let own = &agent.process.settings.process;
     let name = key::map(&own.deployment, &agent.settings.backend);
@@ -148,6 +153,7 @@
     answers.into_iter().flatten().max()
 }
 
+/// Returns the fence of another rank's agent, if that agent responds and knows it.
 async fn query_fence(agent: &Agent, address: std::net::SocketAddr) -> Option<gate::Fence> {
     let mut client = agent.process.links.get(address).agent.clone();
     let order = wire::Order {
--- a/daemon/src/agent/poll.rs
+++ b/daemon/src/agent/poll.rs
@@ -1,4 +1,4 @@
-//! Keeps the backend server's load and reports it.
+//! Polls the backend server's load and reports it to entry hosts.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -8,23 +8,24 @@
 
 use crate::agent::{Agent, server};
 
-/// Longest wait for the backend server's load.
+/// Time limit for a load poll.
 const TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The load, as it is reported.
+/// Load of the backend server, with the report that entry hosts receive.
 pub struct Load {
     inner: Mutex<Inner>,
     reports: watch::Sender<wire::Report>,
 }
 
 struct Inner {
-    /// Attempts that this agent has handed over.
+    /// Attempts that this agent has handed to the backend server.
     running: u32,
     slots: u32,
+    /// Load by the last poll; none if that failed.
     server: Option<server::Load>,
 }
 
-/// A slot of the backend server; dropping it frees the slot.
+/// Guard of a slot of the backend server. Dropping it releases the slot.
 pub struct Slot {
     agent: Arc<Agent>,
 }
@@ -37,7 +38,7 @@
 }
 
 impl Load {
-    /// Nothing is known yet.
+    /// Creates the load of a backend server with `slots` slots, which was not polled yet.
     pub fn new(incarnation: u64, slots: u32) -> Load {
         let report = wire::Report { incarnation, slots, ..wire::Report::default() };
         let inner = Inner { running: 0, slots, server: None };
@@ -48,7 +49,7 @@
         self.inner.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
-    /// Takes a slot, if one is free.
+    /// Acquires a slot, or returns `None` if none is free.
     pub fn acquire(agent: &Arc<Agent>) -> Option<Slot> {
         {
             let mut inner = agent.load.lock();
@@ -61,12 +62,12 @@
         Some(Slot { agent: agent.clone() })
     }
 
-    /// The newest report.
+    /// Returns the newest report.
     pub fn report(&self) -> wire::Report {
         *self.reports.borrow()
     }
 
-    /// Follows the reports.
+    /// Returns a receiver of all further reports.
     pub fn subscribe(&self) -> watch::Receiver<wire::Report> {
         self.reports.subscribe()
     }
@@ -75,7 +76,7 @@
         self.lock().server = load;
     }
 
-    /// Makes a new report if anything has changed. Its number rises under the
+    /// Publishes a new report if anything has changed. Its sequence number is incremented under the
     /// channel's lock.
     pub fn publish(&self, agent: &Agent) {
         let (running, slots, server) = {
@@ -88,7 +89,7 @@
         self.reports.send_if_modified(|report| {
             let next = wire::Report {
                 incarnation: report.incarnation,
-                // Callers may reach the backend server by other ways, too.
+                // The backend server may also run requests that bypass this agent.
                 running: running.max(load.running),
                 queued: load.queued,
                 slots,
@@ -106,7 +107,7 @@
     }
 }
 
-/// Polls until the process ends.
+/// Polls the load until the process exits.
 pub async fn run(agent: Arc<Agent>) {
     let pause = Duration::from_millis(agent.settings.poll_ms);
     let mut changed = agent.process.gossip.subscribe();
@@ -117,7 +118,7 @@
         }
         agent.load.set_server_load(load.ok());
         agent.load.publish(&agent);
-        // A bundle or host list may have this host leaving: that is reported at once.
+        // A new bundle or host list may list this host as leaving, which is reported immediately.
         tokio::select! {
             _ = tokio::time::sleep(pause) => {}
             _ = changed.changed() => agent.load.publish(&agent),
--- a/daemon/src/agent/run.rs
+++ b/daemon/src/agent/run.rs
@@ -1,4 +1,4 @@
-//! Carries one attempt out on the backend server.
+//! Executes one attempt on the backend server.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,21 +15,25 @@
 
 /// Header with the request's id, which model engines echo.
 const REQUEST_ID: &str = "x-request-id";
-/// Header with the precedence, which model engines honour.
+/// Header with the precedence, which model engines schedule by.
 const PRIORITY: &str = "x-priority";
-/// Frames that may wait for a slow caller before the backend server is held up.
+/// Frames buffered for a slow caller. Once the buffer is full, the response is read no further.
 const FRAME_BUFFER: usize = 32;
 
 /// Frames of one attempt.
 pub type Frames = mpsc::Receiver<Result<wire::Frame, tonic::Status>>;
 
-/// Reads the id of an attempt.
+/// Parses the id of an attempt. Returns `None` if the request id is not a UUID.
 pub fn parse_id(id: &wire::AttemptId) -> Option<attempt::Id> {
     let request = uuid::Uuid::from_slice(&id.request).ok()?;
     Some(attempt::Id { request, number: id.number, incarnation: id.incarnation })
 }
 
-/// Starts an attempt; its frames say what comes of it.
+/// Starts an attempt, or rejects it. Returns the frames, which report its result.
+///
+/// # Errors
+///
+/// Returns `InvalidArgument` if the message has no valid id.
 pub fn start(agent: &Arc<Agent>, message: wire::Attempt) -> Result<Frames, tonic::Status> {
     let wire_id = message.id.clone().unwrap_or_default();
     let id = parse_id(&wire_id).ok_or(tonic::Status::invalid_argument("attempt without an id"))?;
@@ -51,14 +55,14 @@
                 wire::Refused { reason: reason.into(), report: Some(agent.load.report()) };
             let kind = Some(wire::frame::Kind::Refused(refused));
             let frame = wire::Frame { id: Some(wire_id), kind };
-            // A fresh channel has room.
+            // The channel is empty, so that the send succeeds.
             sender.try_send(Ok(frame)).unwrap_or_default();
         }
     }
     Ok(receiver)
 }
 
-/// Takes a slot and records the start: from here on the attempt may run.
+/// Acquires a slot and records the start. From then on, the attempt may run.
 fn admit(
     agent: &Arc<Agent>,
     message: &wire::Attempt,
@@ -87,12 +91,12 @@
     Ok((slot, lifecycle_guard))
 }
 
-/// The table of attempts.
+/// Locks the table of attempts.
 pub fn lock(agent: &Agent) -> std::sync::MutexGuard<'_, attempt::Table> {
     agent.attempts.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
 }
 
-/// A running attempt; dropping it records its end.
+/// Guard of a running attempt. Dropping it records the end of the attempt.
 struct Guard {
     agent: Arc<Agent>,
     id: attempt::Id,
@@ -106,6 +110,7 @@
     }
 }
 
+/// The call to the backend server that executes an attempt.
 struct Call {
     agent: Arc<Agent>,
     id: wire::AttemptId,
@@ -118,8 +123,8 @@
         self.agent.process.metrics.attempts.inc();
         let budget = Duration::from_millis(u64::from(message.budget_ms));
         let caller = self.sender.clone();
-        // Dropping the call closes its connection, which cancels it at the
-        // backend server and frees its slot there.
+        // Dropping the future closes the connection. The backend server then cancels the request
+        // and releases its slot.
         tokio::select! {
             _ = tokio::time::timeout(budget, self.relay(message)) => {}
             _ = caller.closed() => {}
@@ -193,7 +198,8 @@
         self.send(wire::frame::Kind::End(end)).await;
     }
 
-    /// Whether the answer is to this request: whoever echoes an id must echo this one.
+    /// Returns whether the response belongs to this request. A backend server need not echo the
+    /// request's id, but must not echo another one.
     fn matches_request(&self, response: &http::Response<Incoming>) -> bool {
         let Some(echo) = response.headers().get(REQUEST_ID) else { return true };
         let own = uuid::Uuid::from_slice(&self.id.request).map(|id| id.to_string());
@@ -213,12 +219,12 @@
 
     async fn send(&self, kind: wire::frame::Kind) {
         let frame = wire::Frame { id: Some(self.id.clone()), kind: Some(kind) };
-        // A caller that left closes the channel, which ends the whole run.
+        // A disconnected caller closes the channel, and `execute` then cancels the call.
         self.sender.send(Ok(frame)).await.unwrap_or_default();
     }
 }
 
-/// Headers that belong to one connection.
+/// Returns whether a header applies to one connection only.
 fn is_hop_by_hop(name: &http::HeaderName) -> bool {
     const HOP_BY_HOP: [&str; 5] =
         ["connection", "keep-alive", "te", "transfer-encoding", "upgrade"];
--- a/daemon/src/agent/server.rs
+++ b/daemon/src/agent/server.rs
@@ -1,4 +1,7 @@
-//! The backend server over HTTP.
+//! HTTP client of the backend server.
+//!
+//! An *end* of a backend server is a crash or exit of its process. The agent numbers the ends that
+//! it detects, so that calls that failed with the same end are recognized.
 
 use std::net::SocketAddr;
 use std::sync::Mutex;
@@ -12,58 +15,58 @@
 use serde::Deserialize;
 use tokio::net::TcpStream;
 
-/// Longest wait for a connection.
+/// Time limit for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long an idle connection is kept.
+/// Time after which an idle connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Why a call to the backend server failed.
+/// Reason why a call to the backend server failed.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// No connection was made: nothing was sent.
-    #[error("not connected")]
+    /// No connection was established, so that nothing was sent.
+    #[error("cannot connect")]
     Connect,
-    /// The call was sent, or may have been.
+    /// The call failed after it was sent, or may have been sent.
     #[error("{0}")]
     Call(legacy::Error),
-    /// The answer ended early or was not what it must be.
-    #[error("bad answer")]
+    /// The response was incomplete or malformed, or the path was invalid.
+    #[error("invalid response")]
     Answer,
-    /// The answer had an error status.
+    /// The response had an error status.
     #[error("status {0}")]
     Status(http::StatusCode),
-    /// There was no answer in time.
-    #[error("no answer in time")]
+    /// The call exceeded its time limit.
+    #[error("timed out")]
     Timeout,
 }
 
 /// Load of the backend server.
 #[derive(Debug, Clone, Copy, Default, Deserialize)]
 pub struct Load {
-    /// Requests that run.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests that wait inside.
+    /// Number of requests in the backend server's own queue.
     pub queued: u32,
-    /// Duration of the last steps, microseconds.
+    /// Duration of the last steps, in microseconds.
     pub step_us: u32,
     /// Epoch of the expert map in use.
     pub epoch: u64,
 }
 
-/// Token counts of the experts on the rank.
+/// Token counts of the experts on a rank.
 #[derive(Debug, Clone, Default, Deserialize)]
 pub struct Experts {
-    /// Epoch that they were counted under.
+    /// Epoch of the expert map under which they were counted.
     pub epoch: u64,
-    /// By layer: expert and its tokens since the last call.
+    /// For each layer, the experts with their token counts since the last call.
     pub layers: Vec<Vec<(u32, u32)>>,
 }
 
-/// Ends of the backend server that its agent noticed.
+/// Ends of the backend server that this agent has detected.
 #[derive(Debug, Default)]
 struct Ends {
     count: u64,
-    /// Whether it took no connection at the last look.
+    /// Whether the backend server accepted no connection at the last check.
     unreachable: bool,
 }
 
@@ -75,7 +78,7 @@
 }
 
 impl Client {
-    /// A client of the backend server at that address.
+    /// Creates a client of the backend server at `address`.
     pub fn new(address: SocketAddr) -> Client {
         let mut connector = legacy::connect::HttpConnector::new();
         connector.set_nodelay(true);
@@ -83,13 +86,13 @@
         let http = legacy::Client::builder(TokioExecutor::new())
             .pool_timer(TokioTimer::new())
             .pool_idle_timeout(IDLE_TIMEOUT)
-            // Whether a call is made again is decided elsewhere.
+            // The entry host decides about retries.
             .retry_canceled_requests(false)
             .build(connector);
         Client { address, ends: Mutex::default(), http }
     }
 
-    /// The URI of a path on the backend server, if the path makes one.
+    /// Returns the URI of a path on the backend server, or `None` if the path is invalid.
     pub fn uri(&self, path: &str) -> Option<http::Uri> {
         http::Uri::builder()
             .scheme(http::uri::Scheme::HTTP)
@@ -99,29 +102,29 @@
             .ok()
     }
 
-    /// After a call that broke off: which end of the backend server it was, if
-    /// that takes no connection. Calls that broke with the same end get the same
-    /// number.
+    /// Checks after a failed call whether the backend server has ended. Returns the number of the
+    /// end if the backend server accepts no connection. Calls that failed with the same end get the
+    /// same number.
     pub async fn detect_end(&self) -> Option<u64> {
         let connected = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(self.address));
         let connects = matches!(connected.await, Ok(Ok(_)));
-        // Each change is one assignment.
+        // The state is valid after a panic of another task: each field changes by one assignment.
         let mut ends = self.ends.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
         let was_unreachable = std::mem::replace(&mut ends.unreachable, !connects);
         ends.count += u64::from(!connects && !was_unreachable);
         (!connects).then_some(ends.count)
     }
 
-    /// The backend server answered: its next end is another one.
+    /// Records that the backend server has responded. Its next end gets a new number.
     fn record_response(&self) {
         self.ends.lock().unwrap_or_else(std::sync::PoisonError::into_inner).unreachable = false;
     }
 
-    /// Sends a request and waits for the head of the answer.
+    /// Sends a request and waits for the head of the response.
     ///
     /// # Errors
     ///
-    /// [`Error::Connect`] where nothing was sent, else [`Error::Call`].
+    /// Returns [`Error::Connect`] if nothing was sent, and [`Error::Call`] otherwise.
     pub async fn send(
         &self,
         request: http::Request<Full<Bytes>>,
@@ -136,11 +139,11 @@
         })
     }
 
-    /// Reads JSON from a path.
+    /// Gets a JSON value from a path, within the time limit.
     ///
     /// # Errors
     ///
-    /// Any [`Error`].
+    /// Returns an [`Error`] if the call fails.
     pub async fn read<T: serde::de::DeserializeOwned>(
         &self,
         path: &str,
@@ -150,11 +153,11 @@
         serde_json::from_slice(&body).map_err(|_| Error::Answer)
     }
 
-    /// Posts an order to a path.
+    /// Posts an order to a path, within the time limit.
     ///
     /// # Errors
     ///
-    /// Any [`Error`].
+    /// Returns an [`Error`] if the call fails.
     pub async fn order(&self, path: &str, body: Bytes, limit: Duration) -> Result<(), Error> {
         self.exchange(http::Method::POST, path, body, limit).await.map(drop)
     }
--- a/daemon/src/agent/service.rs
+++ b/daemon/src/agent/service.rs
@@ -1,4 +1,4 @@
-//! The service that an agent offers to entry hosts and other agents.
+//! The gRPC service of an agent, which entry hosts and other agents call.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -12,18 +12,18 @@
 
 use crate::agent::{Agent, keeper, orders, run, server};
 
-/// Longest time between two reports.
+/// Maximum time between two reports of a watch.
 const REPORT_INTERVAL: Duration = Duration::from_secs(1);
-/// Longest wait for the backend server's counts.
+/// Time limit for reading the backend server's token counts.
 const COUNTS_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The service.
+/// Implementation of the service.
 pub struct Service {
     agent: Arc<Agent>,
 }
 
 impl Service {
-    /// Serves for the agent.
+    /// Creates the service of an agent.
     pub fn new(agent: Arc<Agent>) -> Service {
         Service { agent }
     }
