--- a/daemon/src/agent.rs
+++ b/daemon/src/agent.rs
@@ -2,8 +2,8 @@
 //!
 //! [`service`] serves the calls of entry hosts and other agents. [`run`] executes an attempt on the
 //! backend server ([`server`]). [`poll`] polls and reports the backend server's load. [`keeper`] is
-//! the agent as a home of idempotency keys, which decides claims of them. [`orders`] executes orders
-//! for expert maps and rejects stale ones.
+//! the agent as a home of idempotency keys, which decides claims of them. [`orders`] executes
+//! orders for expert maps and rejects stale ones.
 
 mod keeper;
 mod orders;
@@ -124,7 +124,7 @@
     /// Returns whether the agent accepts new work.
     pub fn accepts_work(&self) -> bool {
         let serving = self.process.lifecycle.phase() == lifecycle::Phase::Serving;
-        serving && !self.process.leaving(&self.process.settings.process.host)
+        serving && !self.process.is_leaving(&self.process.settings.process.host)
     }
 }
 
--- a/daemon/src/agent/run.rs
+++ b/daemon/src/agent/run.rs
@@ -41,10 +41,9 @@
     let history = &agent.process.history;
     let subject = id.request.to_string();
     match admit(agent, &message, id) {
-        Ok((slot, lifecycle_guard)) => {
+        Ok((slot, in_flight)) => {
             history.record(&subject, format!("attempt={} choice=run", id.number));
-            let guard =
-                Guard { agent: agent.clone(), id, _slot: slot, _lifecycle_guard: lifecycle_guard };
+            let guard = Guard { agent: agent.clone(), id, _slot: slot, _in_flight: in_flight };
             let call = Call { agent: agent.clone(), id: wire_id, sender, guard };
             tokio::spawn(call.execute(message));
         }
@@ -77,7 +76,7 @@
     if message.budget_ms == 0 {
         return Err(wire::Refusal::Deadline);
     }
-    let lifecycle_guard = agent.process.lifecycle.enter().ok_or(wire::Refusal::Leaving)?;
+    let in_flight = agent.process.lifecycle.enter().ok_or(wire::Refusal::Leaving)?;
     let slot = poll::Load::acquire(agent).ok_or(wire::Refusal::Full)?;
     let expiry = clock::Wall::from_millis(message.expiry_ms);
     let now = agent.process.clock.wall();
@@ -88,7 +87,7 @@
         attempt::Refusal::Expired => wire::Refusal::Deadline,
         attempt::Refusal::Full => wire::Refusal::Full,
     })?;
-    Ok((slot, lifecycle_guard))
+    Ok((slot, in_flight))
 }
 
 /// Locks the table of attempts.
@@ -101,7 +100,7 @@
     agent: Arc<Agent>,
     id: attempt::Id,
     _slot: poll::Slot,
-    _lifecycle_guard: life::InFlight,
+    _in_flight: life::InFlight,
 }
 
 impl Drop for Guard {
--- a/daemon/src/process.rs
+++ b/daemon/src/process.rs
@@ -1,4 +1,4 @@
-//! What all tasks of a process share.
+//! State that all tasks of a process share.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,49 +12,49 @@
 
 use crate::{clock, explain, force, gossip, life, link, metrics};
 
-/// The process. Lock order, where more than one is held: the entry's dispatcher or
-/// the agent's tables, then the gossip's records, then the bundle's gate,
-/// then life, then the history of decisions.
+/// The process. Locks that are held together are acquired in this order: the entry's dispatcher or
+/// the agent's tables, the gossip's records, the bundle's gate, the lifecycle, the history of
+/// decisions.
 pub struct Process {
-    /// Its settings.
+    /// Settings.
     pub settings: file::Daemon,
-    /// Number of this run.
+    /// Number of this run of the process.
     pub incarnation: attempt::Incarnation,
-    /// Its clocks.
+    /// Clocks.
     pub clock: clock::Clock,
-    /// Its life.
+    /// Lifecycle and requests in flight.
     pub lifecycle: Arc<life::Lifecycle>,
-    /// Bundle, host list and home table.
+    /// Records that peers replicate: bundle, host list and home table.
     pub gossip: gossip::Gossip,
-    /// The platform.
+    /// Client of the platform.
     pub platform: records::Client,
     /// Connections to other processes.
     pub links: link::Table,
-    /// Decisions.
+    /// Recent decisions.
     pub history: explain::History,
-    /// Requests under which backend servers ended, as this entry host saw it.
+    /// Requests during which backend servers ended, as detected by this entry host.
     pub ends: ends::Ends,
     /// Metrics.
     pub metrics: metrics::Metrics,
 }
 
-/// Why a process could not be set up.
+/// Reason why a process could not be initialized.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// An operator's public key is not one.
+    /// The public key of an operator is invalid.
     #[error("operators: {0}")]
     Operators(#[from] loftcove_bundle::error::Error),
-    /// The deployment's key cannot be sent.
+    /// The deployment's key cannot be sent in a header.
     #[error(transparent)]
     Key(#[from] link::KeyError),
 }
 
 impl Process {
-    /// Sets a process up; nothing runs yet.
+    /// Creates the state of a process. No task runs yet.
     ///
     /// # Errors
     ///
-    /// An [`Error`] of the settings that only shows when they are used.
+    /// Returns an [`Error`] if a setting is invalid that reading the settings does not check.
     pub fn new(settings: file::Daemon) -> Result<Process, Error> {
         let keyring = sign::Keyring::new(&settings.operators)?;
         let key = link::Key::new(&settings.process.key)?;
@@ -78,7 +78,7 @@
         })
     }
 
-    /// Takes a record that was heard of, if it is newer.
+    /// Applies a record from the platform or a peer, if it is newer.
     pub fn apply_record(&self, record: wire::Record) {
         let size = record.value.len() as u64;
         if self.gossip.apply(record, &self.lifecycle, &self.history) {
@@ -87,14 +87,14 @@
         }
     }
 
-    /// The host of that id in the host list.
+    /// Returns the host with that id from the host list.
     pub fn host(&self, id: &str) -> Option<hosts::Host> {
         let list = self.gossip.hosts();
         list.hosts.iter().find(|host| *host.id == *id).cloned()
     }
 
-    /// Whether the host list or the bundle has that host leaving.
-    pub fn leaving(&self, id: &str) -> bool {
+    /// Returns whether the host list or the bundle marks a host as leaving.
+    pub fn is_leaving(&self, id: &str) -> bool {
         let listed = self.host(id).is_some_and(|host| host.leaving);
         let bundle = self.gossip.force.bundle();
         listed || bundle.is_some_and(|bundle| bundle.content.leaving.iter().any(|h| **h == *id))
