--- a/daemon/src/admin.rs
+++ b/daemon/src/admin.rs
@@ -1,4 +1,4 @@
-//! Health and metrics over HTTP, for whoever watches the process.
+//! Health checks and metrics over HTTP, for operators and monitoring.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -13,12 +13,12 @@
 
 use crate::{metrics, process};
 
-/// Paths that are answered here.
+/// Returns whether [`answer`] serves a path.
 pub fn is_path(path: &str) -> bool {
     matches!(path, "/healthz" | "/readyz" | "/metrics")
 }
 
-/// Answers one of the paths.
+/// Returns the response for a path.
 pub fn answer(process: &process::Process, path: &str) -> http::Response<Full<Bytes>> {
     let (status, text) = match path {
         "/healthz" => (http::StatusCode::OK, "ok\n".to_owned()),
@@ -34,6 +34,7 @@
     response
 }
 
+/// Updates the gauges that are read on demand, and returns all metrics in text form.
 fn encode(process: &process::Process) -> String {
     let calls = process.platform.calls();
     let kinds = [("read", &calls.reads), ("watch", &calls.watches), ("write", &calls.writes)];
@@ -45,7 +46,7 @@
     process.metrics.encode()
 }
 
-/// Serves the paths on an address of their own until the process ends.
+/// Serves the paths on a separate address until the process exits.
 pub async fn serve(process: Arc<process::Process>, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else { continue };
--- a/daemon/src/clock.rs
+++ b/daemon/src/clock.rs
@@ -1,4 +1,4 @@
-//! The clocks of the process, as the decisions take them.
+//! The clocks of the process, in the types of the state machines.
 
 use std::ops::Range;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -7,26 +7,26 @@
 use loftcove_decision::{attempt, clock};
 use rand::Rng as _;
 
-/// Reads both clocks. The monotonic one counts from the start of the process, also
-/// while the host is suspended: a home that slept through its lease must not grant
-/// keys that another one grants by now.
+/// The monotonic and the wall clock. The monotonic clock counts from the start of the process and
+/// includes suspensions of the host. A home that was suspended until its lease expired must not
+/// grant keys that another home may grant by then.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     origin: boot::Instant,
 }
 
 impl Clock {
-    /// Starts the monotonic clock.
+    /// Starts the monotonic clock at zero.
     pub fn start() -> Clock {
         Clock { origin: boot::Instant::now() }
     }
 
-    /// The monotonic clock.
+    /// Returns the time of the monotonic clock.
     pub fn now(&self) -> clock::Instant {
         clock::Instant::from_micros(self.origin.elapsed().as_micros() as u64)
     }
 
-    /// The wall clock.
+    /// Returns the time of the wall clock.
     pub fn wall(&self) -> clock::Wall {
         clock::Wall::from_millis(since_epoch().as_millis() as u64)
     }
@@ -36,14 +36,14 @@
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default()
 }
 
-/// Number of this run of the process: its start in microseconds, so that a
-/// later run on the same host has a higher one.
+/// Returns the number of this run of the process: its start in microseconds since the Unix epoch. A
+/// later run on the same host thus has a higher number.
 pub fn incarnation() -> attempt::Incarnation {
     since_epoch().as_micros() as u64
 }
 
-/// A span by lot, between two multiples of the given one, so that a fleet does
-/// not move in step.
+/// Returns `span` multiplied by a random factor from `factors`. The jitter prevents that all
+/// processes of a fleet act at the same time.
 pub fn jitter(span: Duration, factors: Range<f64>) -> Duration {
     span.mul_f64(rand::rng().random_range(factors))
 }
--- a/daemon/src/exchange.rs
+++ b/daemon/src/exchange.rs
@@ -1,4 +1,4 @@
-//! The loop that exchanges records with peers.
+//! Periodic exchange of records with a random peer.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,14 +11,13 @@
 
 use crate::{clock, process};
 
-/// One exchange in this many goes outside of the usual circle: to another
-/// zone, or to an agent, so that what one side of a healed cut has reaches
-/// the other, and an entry host finds what only agents still hold.
+/// One in this many exchanges is with any host or seed, in any zone and role. Thereby records cross
+/// a healed network partition, and entry hosts receive records that only agents still have.
 const REMOTE_RATIO: u32 = 4;
-/// Longest time for one exchange.
+/// Time limit for each call of an exchange.
 const TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Exchanges until the process ends.
+/// Exchanges records until the process exits.
 pub async fn run(process: Arc<process::Process>) {
     let pause = Duration::from_millis(process.settings.process.exchange_ms);
     loop {
@@ -27,12 +26,12 @@
         {
             log::debug!("exchange failed peer={address} status={}", status.code());
         }
-        // Jitter keeps the fleet from moving in step.
+        // Jitter prevents that all processes exchange at the same time.
         tokio::time::sleep(clock::jitter(pause, 0.8..1.2)).await;
     }
 }
 
-/// A peer by lot: mostly an entry host of the own zone.
+/// Selects a random peer, usually an entry host of the same zone.
 fn select_peer(process: &process::Process) -> Option<SocketAddr> {
     let own = &process.settings.process;
     let list = process.gossip.hosts();
