--- a/daemon/src/explain.rs
+++ b/daemon/src/explain.rs
@@ -1,14 +1,14 @@
-//! Decisions, logged and kept for `loftcove explain`.
+//! History of recent decisions, which are logged and stored for `loftcove explain`.
 
 use std::collections::VecDeque;
 use std::sync::Mutex;
 
-/// Decisions that are kept.
+/// Maximum number of stored decisions.
 const CAPACITY: usize = 8_192;
-/// Target of the decisions' log lines.
+/// Log target of decisions.
 pub const TARGET: &str = "decision";
 
-/// The decisions of the last requests. Its lock is taken last of all.
+/// The most recent decisions. Its lock is the last in the lock order of the process.
 #[derive(Debug, Default)]
 pub struct History {
     lines: Mutex<VecDeque<Line>>,
@@ -21,7 +21,8 @@
 }
 
 impl History {
-    /// Logs a decision about a request, or about whatever has that id, and keeps it.
+    /// Logs and stores a decision about `subject`, which is the id of a request or key, or the name
+    /// of a record, group or task.
     pub fn record(&self, subject: &str, text: String) {
         log::info!(target: TARGET, "request={subject} {text}");
         let mut lines = self.lock();
@@ -31,7 +32,7 @@
         lines.push_back(Line { subject: subject.into(), text: text.into() });
     }
 
-    /// The decisions about one subject, oldest first.
+    /// Returns the decisions about a subject, oldest first.
     pub fn entries(&self, subject: &str) -> Vec<String> {
         let lines = self.lock();
         let matching = lines.iter().filter(|line| *line.subject == *subject);
@@ -39,7 +40,7 @@
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, VecDeque<Line>> {
-        // A panic elsewhere cannot leave the queue half changed.
+        // A panic of another task cannot leave the queue in an inconsistent state.
         self.lines.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 }
--- a/daemon/src/force.rs
+++ b/daemon/src/force.rs
@@ -1,4 +1,7 @@
-//! The bundle in force, verified whoever handed it over.
+//! The bundle in force: the verified bundle of the highest generation that this process has
+//! received.
+//!
+//! Each bundle is verified, regardless of whether the platform or a peer sent it.
 
 use std::sync::{Arc, Mutex};
 
@@ -10,34 +13,34 @@
 /// A verified bundle.
 #[derive(Debug)]
 pub struct Bundle {
-    /// Its generation.
+    /// Generation of the bundle.
     pub generation: generation::Generation,
-    /// Digest of its text.
+    /// Digest of the signed text.
     pub digest: sign::Digest,
-    /// What it states.
+    /// Settings that the bundle contains.
     pub content: content::Content,
 }
 
-/// Why a bundle that was heard of was not put in force.
+/// Reason why a received bundle was not put in force.
 #[derive(Debug, thiserror::Error)]
 pub enum Refusal {
-    /// It is not newer than the one in force.
+    /// The bundle is not newer than the one in force.
     #[error("generation {received} is not above {current}")]
     Outdated {
-        /// Generation heard of.
+        /// Generation of the received bundle.
         received: generation::Generation,
-        /// Generation in force.
+        /// Generation of the bundle in force.
         current: generation::Generation,
     },
-    /// It is for another deployment.
-    #[error("it is for the deployment {0}")]
+    /// The bundle is for another deployment.
+    #[error("the bundle is for the deployment {0}")]
     Deployment(Arc<str>),
-    /// Its signatures or content do not hold.
+    /// The signatures or the content are invalid.
     #[error(transparent)]
     Invalid(#[from] error::Error),
 }
 
-/// The bundle in force. Readers never wait.
+/// Holder of the bundle in force. Readers never block.
 pub struct Force {
     keyring: sign::Keyring,
     deployment: Arc<str>,
@@ -46,26 +49,26 @@
 }
 
 impl Force {
-    /// Nothing in force yet.
+    /// Creates a holder without a bundle.
     pub fn new(keyring: sign::Keyring, deployment: Arc<str>) -> Force {
         Force { keyring, deployment, gate: Mutex::default(), bundle: ArcSwapOption::empty() }
     }
 
-    /// The bundle in force, if there is one.
+    /// Returns the bundle in force, or `None` before the first one.
     pub fn bundle(&self) -> Option<Arc<Bundle>> {
         self.bundle.load_full()
     }
 
-    /// The generation in force; zero before the first bundle.
+    /// Returns the generation in force, or zero before the first bundle.
     pub fn generation(&self) -> u64 {
         self.bundle().map_or(0, |bundle| bundle.generation.0)
     }
 
-    /// Verifies an envelope and puts it in force if it is newer.
+    /// Verifies an envelope and puts its bundle in force if it is newer.
     ///
     /// # Errors
     ///
-    /// A [`Refusal`]; what was in force stays so.
+    /// Returns a [`Refusal`]. The bundle in force then stays the same.
     pub fn apply(&self, json: &Bytes) -> Result<Arc<Bundle>, Refusal> {
         let envelope = envelope::Envelope::parse(json)?;
         let received = generation::Generation(envelope.roll.generation);
@@ -79,8 +82,8 @@
         }
         let digest = envelope.digest();
         let bundle = Arc::new(Bundle { generation: received, digest, content });
-        // Two envelopes may have been verified at a time: the gate decides,
-        // and the store happens under its lock so that it cannot fall back.
+        // Two envelopes may be verified concurrently. The gate decides which one is newer. The
+        // bundle is stored under its lock, because an older bundle must not replace a newer one.
         let mut gate = self.lock();
         if !gate.accept(received) {
             return Err(Refusal::Outdated { received, current: gate.current() });
