--- a/daemon/src/gossip.rs
+++ b/daemon/src/gossip.rs
@@ -1,10 +1,9 @@
-//! What spreads between processes: the bundle, the host list, the home table.
+//! Records that processes replicate among each other: the bundle, the host list, the home table.
 //!
-//! Each kind has one value at a time, and a higher revision goes before a
-//! lower one. Few processes watch the platform; the others hear from peers by
-//! exchanging what they have ([`crate::exchange`]), so that the platform's
-//! calls do not grow with the fleet and a zone that is cut off from the
-//! platform still agrees on the newest that any of its processes has.
+//! Each kind has one value, and a higher revision replaces a lower one. Only a few processes watch
+//! the platform ([`crate::source`]). The others receive records from peers ([`crate::exchange`]).
+//! The number of platform calls therefore does not grow with the fleet. The processes of a zone
+//! that is partitioned from the platform still converge to the newest record that any of them has.
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
@@ -18,32 +17,32 @@
 
 use crate::{explain, force, life};
 
-/// A value and its revision.
+/// A serialized record with its revision.
 #[derive(Debug, Clone, Default)]
-struct Held {
+struct Entry {
     revision: u64,
     value: Bytes,
 }
 
-/// The records of this process and their parsed forms. Lock order: `held`,
-/// then the bundle's gate.
+/// The records of this process, serialized and parsed. Lock order: `entries`, then the gate of the
+/// bundle.
 pub struct Gossip {
-    held: Mutex<BTreeMap<wire::Kind, Held>>,
-    /// The bundle.
+    entries: Mutex<BTreeMap<wire::Kind, Entry>>,
+    /// The bundle in force.
     pub force: force::Force,
     hosts: ArcSwap<hosts::Snapshot>,
     homes: ArcSwap<home::table::Table>,
     changed: watch::Sender<u64>,
 }
 
-/// Kinds of records, in the order in which they are offered.
+/// Kinds of records, in the order of an offer.
 const KINDS: [wire::Kind; 3] = [wire::Kind::Bundle, wire::Kind::Hosts, wire::Kind::Homes];
 
 impl Gossip {
-    /// Knows nothing yet.
+    /// Creates an empty set of records.
     pub fn new(force: force::Force) -> Gossip {
         Gossip {
-            held: Mutex::default(),
+            entries: Mutex::default(),
             force,
             hosts: ArcSwap::default(),
             homes: ArcSwap::default(),
@@ -51,39 +50,40 @@
         }
     }
 
-    /// The host list.
+    /// Returns the host list.
     pub fn hosts(&self) -> std::sync::Arc<hosts::Snapshot> {
         self.hosts.load_full()
     }
 
-    /// The table of homes.
+    /// Returns the table of homes.
     pub fn homes(&self) -> std::sync::Arc<home::table::Table> {
         self.homes.load_full()
     }
 
-    /// Follows changes of any record.
+    /// Returns a receiver that is notified when any record changes.
     pub fn subscribe(&self) -> watch::Receiver<u64> {
         self.changed.subscribe()
     }
 
-    /// What this process has.
+    /// Returns the revision of each kind, or zero for a missing record.
     pub fn versions(&self) -> Vec<wire::Version> {
-        let held = self.lock();
-        let revision = |kind: &wire::Kind| held.get(kind).map_or(0, |held| held.revision);
+        let entries = self.lock();
+        let revision = |kind: &wire::Kind| entries.get(kind).map_or(0, |entry| entry.revision);
         KINDS
             .iter()
             .map(|kind| wire::Version { kind: (*kind).into(), revision: revision(kind) })
             .collect()
     }
 
-    /// What the other lacks, and what this process lacks.
+    /// Returns the answer to a peer's offer: the records that are newer here, and the kinds that
+    /// are newer at the peer.
     pub fn answer(&self, offer: &[wire::Version]) -> wire::Update {
-        let held = self.lock();
+        let entries = self.lock();
         let mut update = wire::Update::default();
         for kind in KINDS {
             let theirs = offer.iter().find(|version| version.kind() == kind);
             let theirs = theirs.map_or(0, |version| version.revision);
-            let ours = held.get(&kind).cloned().unwrap_or_default();
+            let ours = entries.get(&kind).cloned().unwrap_or_default();
             if ours.revision > theirs {
                 update.records.push(record(kind, &ours));
             } else if ours.revision < theirs {
@@ -93,13 +93,13 @@
         update
     }
 
-    /// The records of those kinds.
+    /// Returns the records of the given kinds, without missing ones.
     pub fn records(&self, kinds: impl Iterator<Item = wire::Kind>) -> Vec<wire::Record> {
-        let held = self.lock();
-        kinds.filter_map(|kind| held.get(&kind).map(|value| record(kind, value))).collect()
+        let entries = self.lock();
+        kinds.filter_map(|kind| entries.get(&kind).map(|entry| record(kind, entry))).collect()
     }
 
-    /// Takes a record if it is newer and holds. Returns whether it was taken.
+    /// Applies a record if it is newer and valid. Returns whether it was applied.
     pub fn apply(
         &self,
         record: wire::Record,
@@ -107,15 +107,15 @@
         history: &explain::History,
     ) -> bool {
         let kind = record.kind();
-        let mut held = self.lock();
-        if held.get(&kind).is_some_and(|held| held.revision >= record.revision) {
+        let mut entries = self.lock();
+        if entries.get(&kind).is_some_and(|entry| entry.revision >= record.revision) {
             return false;
         }
         if !self.apply_value(kind, &record, lifecycle, history) {
             return false;
         }
-        held.insert(kind, Held { revision: record.revision, value: record.value });
-        drop(held);
+        entries.insert(kind, Entry { revision: record.revision, value: record.value });
+        drop(entries);
         self.changed.send_modify(|count| *count += 1);
         true
     }
@@ -147,8 +147,8 @@
         }
     }
 
-    fn lock(&self) -> std::sync::MutexGuard<'_, BTreeMap<wire::Kind, Held>> {
-        self.held.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
+    fn lock(&self) -> std::sync::MutexGuard<'_, BTreeMap<wire::Kind, Entry>> {
+        self.entries.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 }
 
@@ -159,12 +159,12 @@
             true
         }
         Err(error) => {
-            log::error!("record refused error=\"{error}\"");
+            log::error!("invalid record error=\"{error}\"");
             false
         }
     }
 }
 
-fn record(kind: wire::Kind, held: &Held) -> wire::Record {
-    wire::Record { kind: kind.into(), revision: held.revision, value: held.value.clone() }
+fn record(kind: wire::Kind, entry: &Entry) -> wire::Record {
+    wire::Record { kind: kind.into(), revision: entry.revision, value: entry.value.clone() }
 }
--- a/daemon/src/homes.rs
+++ b/daemon/src/homes.rs
@@ -1,9 +1,9 @@
-//! Which agents may be homes of idempotency keys, by the host list.
+//! Selection of the agents that may be homes of idempotency keys.
 
 use loftcove_decision::home::table;
 use loftcove_platform::hosts;
 
-/// Agents of a host list that may be homes.
+/// Returns the agents of a host list that may be homes, at most `per_zone` in each zone.
 pub fn elect(list: &hosts::Snapshot, per_zone: usize) -> Vec<table::Candidate> {
     let agents = list.hosts.iter().filter(|host| host.role == hosts::Role::Agent && !host.leaving);
     let candidate =
--- a/daemon/src/leader.rs
+++ b/daemon/src/leader.rs
@@ -1,8 +1,9 @@
-//! Which entry host does a task that one should do: thrift, never safety.
+//! Selection of one entry host for a task that one host should execute.
 //!
-//! All entry hosts agree on an order of candidates by rendezvous; one acts if
-//! none before it answers. Two may act at a time when they see different lists
-//! or a call fails: every task done this way is safe by compare-and-swap.
+//! All entry hosts order the candidates by rendezvous hashing. A host executes the task if no host
+//! before it in this order responds. Two hosts may execute the task concurrently if their host
+//! lists differ or a call fails. The selection therefore only saves work. The tasks are safe
+//! because they write by compare-and-swap.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,10 +14,10 @@
 
 use crate::process;
 
-/// Longest wait for the answer of a candidate.
+/// Time limit for the response of a candidate.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Whether this process should do the task, among the entry hosts that `eligible` admits.
+/// Returns whether this process is selected for `task` among the entry hosts that are `eligible`.
 pub async fn is_self(
     process: &Arc<process::Process>,
     task: &str,
@@ -43,6 +44,7 @@
     false
 }
 
+/// Returns whether a host answers an exchange in time.
 async fn responds(process: &process::Process, host: &hosts::Host) -> bool {
     let mut peer = process.links.get(host.address).peer.clone();
     let offer = wire::Offer {
