--- a/daemon/src/life.rs
+++ b/daemon/src/life.rs
@@ -1,4 +1,4 @@
-//! The process's life, shared by its tasks.
+//! Lifecycle of the process, shared by its tasks.
 
 use std::sync::{Arc, Mutex};
 
@@ -6,7 +6,7 @@
 use statig::blocking::StateMachine;
 use tokio::sync::watch;
 
-/// The machine, the count of requests in flight, and who waits for a change.
+/// The state machine, the number of requests in flight, and the phase that tasks subscribe to.
 pub struct Lifecycle {
     inner: Mutex<Inner>,
     phase: watch::Sender<lifecycle::Phase>,
@@ -28,30 +28,30 @@
 }
 
 impl Lifecycle {
-    /// Hands the machine an event.
+    /// Passes an event to the state machine.
     pub fn handle(&self, event: lifecycle::Event) {
         let mut inner = self.lock();
         inner.machine.handle(&event);
         self.publish(&inner);
     }
 
-    /// What the process may do.
+    /// Returns the phase of the process.
     pub fn phase(&self) -> lifecycle::Phase {
         *self.phase.borrow()
     }
 
-    /// Follows the phase.
+    /// Returns a receiver of changes of the phase.
     pub fn subscribe(&self) -> watch::Receiver<lifecycle::Phase> {
         self.phase.subscribe()
     }
 
-    /// Requests in flight.
+    /// Returns the number of requests in flight.
     pub fn in_flight(&self) -> usize {
         self.lock().in_flight
     }
 
-    /// Counts a request until the guard is dropped. `None` where the process
-    /// takes no new work: the check and the count are one step.
+    /// Counts a request as in flight until the guard is dropped. Returns `None` if the process
+    /// accepts no new work. The check and the count are one atomic step.
     pub fn enter(self: &Arc<Lifecycle>) -> Option<InFlight> {
         let mut inner = self.lock();
         if self.phase() != lifecycle::Phase::Serving {
@@ -73,7 +73,7 @@
     }
 }
 
-/// A request in flight; dropping it ends it.
+/// Guard of a request in flight. Dropping it ends the request.
 pub struct InFlight {
     lifecycle: Arc<Lifecycle>,
 }
--- a/daemon/src/link.rs
+++ b/daemon/src/link.rs
@@ -1,4 +1,4 @@
-//! Connections to loftcove's other processes, and the key they bear.
+//! gRPC connections to other processes of the deployment, authenticated by its key.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
@@ -12,36 +12,36 @@
 use tonic::service::interceptor::InterceptedService;
 use tonic::transport::{Channel, Endpoint};
 
-/// Longest wait for a connection.
+/// Time limit for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// How often a silent connection is probed, and how long the probe may take.
+/// Interval between two keep-alive probes of a silent connection, and time limit of a probe.
 const KEEP_ALIVE: (Duration, Duration) = (Duration::from_secs(2), Duration::from_secs(3));
 
-/// A channel whose calls bear the deployment's key.
+/// A channel that adds the deployment's key to each call.
 pub type Transport = InterceptedService<Channel, Key>;
 
-/// The deployment's key, as callers send it and servers check it.
+/// The deployment's key, which clients send and servers verify.
 #[derive(Clone)]
 pub struct Key {
     value: MetadataValue<Ascii>,
 }
 
-/// The deployment's key has characters that no header may have.
+/// The deployment's key contains characters that are not allowed in a header.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("the deployment's key must be printable ASCII")]
+#[error("the deployment's key must consist of printable ASCII characters")]
 pub struct KeyError;
 
 impl Key {
-    /// Takes the key of the settings.
+    /// Converts the key of the settings.
     ///
     /// # Errors
     ///
-    /// [`KeyError`].
+    /// Returns a [`KeyError`] if the key contains other characters than printable ASCII.
     pub fn new(text: &str) -> Result<Key, KeyError> {
         Ok(Key { value: text.parse().map_err(|_| KeyError)? })
     }
 
-    /// The check for servers.
+    /// Returns the interceptor with which a server verifies the key.
     pub fn verifier(&self) -> Verifier {
         Verifier { key: self.clone() }
     }
@@ -57,7 +57,7 @@
     }
 }
 
-/// Refuses calls without the deployment's key.
+/// Rejects calls without the deployment's key.
 #[derive(Clone)]
 pub struct Verifier {
     key: Key,
@@ -67,7 +67,7 @@
     fn call(&mut self, request: tonic::Request<()>) -> Result<tonic::Request<()>, tonic::Status> {
         let given = request.metadata().get(wire::KEY_ENTRY);
         let given = given.map_or(&b""[..], |value| value.as_encoded_bytes());
-        // The comparison's time must not tell how much of the key was right.
+        // A comparison in constant time does not reveal how much of the key was correct.
         if bool::from(given.ct_eq(self.key.value.as_encoded_bytes())) {
             return Ok(request);
         }
@@ -75,16 +75,16 @@
     }
 }
 
-/// One process, with a client for each of its services.
+/// Clients of the services of another process.
 #[derive(Clone)]
 pub struct Link {
-    /// Every process serves this.
+    /// Client of the service of every process.
     pub peer: wire::peer_client::PeerClient<Transport>,
-    /// Agents serve this.
+    /// Client of the service of agents.
     pub agent: wire::agent_client::AgentClient<Transport>,
 }
 
-/// The links of this process, one for each address.
+/// The links of this process, by address.
 pub struct Table {
     key: Key,
     source: Option<IpAddr>,
@@ -92,19 +92,20 @@
 }
 
 impl Table {
-    /// An empty table; connections come from `source`, if it is given.
+    /// Creates an empty table. Connections use the local address `source`, if there is one.
     pub fn new(key: Key, source: Option<IpAddr>) -> Table {
         Table { key, source, links: Mutex::new(BTreeMap::new()) }
     }
 
-    /// The link to an address; it connects when it is used.
+    /// Returns the link to an address. It connects on the first call.
     pub fn get(&self, address: SocketAddr) -> Arc<Link> {
         let mut links = self.links.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
         let fresh = || Arc::new(connect(address, self.source, self.key.clone()));
         links.entry(address).or_insert_with(fresh).clone()
     }
 
-    /// Drops the links to addresses that are not in the host list any more.
+    /// Drops the links to the addresses for which `wanted` returns false, such as those that are no
+    /// longer in the host list.
     pub fn retain(&self, wanted: impl Fn(SocketAddr) -> bool) {
         let mut links = self.links.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
         links.retain(|address, _| wanted(*address));
@@ -137,11 +138,11 @@
         .authority(address.to_string())
         .path_and_query("/")
         .build();
-    // An address by numbers and a port always is an authority.
+    // A numeric address with a port is always a valid authority.
     built.expect("an address is a well-formed authority")
 }
 
-/// Whether a call surely never left this process: no connection was made.
+/// Returns whether a call was certainly not sent, because no connection was established.
 pub fn never_sent(status: &tonic::Status) -> bool {
     let mut source = std::error::Error::source(status);
     while let Some(error) = source {
--- a/daemon/src/logging.rs
+++ b/daemon/src/logging.rs
@@ -1,4 +1,4 @@
-//! Sets logging up.
+//! Initializes logging.
 
 use loftcove_settings::file;
 
@@ -25,15 +25,15 @@
 
 /// Logs to standard error.
 pub fn to_stderr(level: file::Level) {
-    // Only a second initialisation can fail, and there is none.
+    // Only a second initialization fails, and each process initializes logging once.
     simplelog::WriteLogger::init(filter(level), config(), std::io::stderr()).unwrap_or_default();
 }
 
-/// Logs to standard output without ever waiting for its reader.
+/// Logs to standard output through a buffer, so that a slow reader never blocks the caller.
 pub fn to_stdout(level: file::Level) -> sink::Sink {
     let sink = sink::Sink::default();
     sink.spawn();
-    // See above.
+    // Only a second initialization fails, and each process initializes logging once.
     simplelog::WriteLogger::init(filter(level), config(), sink.clone()).unwrap_or_default();
     sink
 }
--- a/daemon/src/metrics.rs
+++ b/daemon/src/metrics.rs
@@ -6,12 +6,12 @@
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::registry::Registry;
 
-/// Label with the outcome of a request.
+/// Labels with the outcome of a request.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct Outcome {
     /// `answered`, `not-run` or `unknown`.
     pub outcome: &'static str,
-    /// Reason of a refusal; empty for an answer.
+    /// Reason of a rejection; empty for an answered request.
     pub reason: String,
 }
 
@@ -25,26 +25,26 @@
 /// All metrics.
 #[derive(Debug, Default)]
 pub struct Metrics {
-    /// Requests with their final outcome.
+    /// Number of requests, by final outcome.
     pub requests: Family<Outcome, Counter>,
-    /// Attempts sent to agents, or run by this agent.
+    /// Number of attempts sent to agents, or executed by this agent.
     pub attempts: Counter,
-    /// Frames of an attempt that had ended, or of another, which were dropped.
+    /// Number of dropped frames, which belonged to another attempt or to one that had ended.
     pub dropped_frames: Counter,
-    /// Requests in flight.
+    /// Number of requests in flight.
     pub in_flight: Gauge,
-    /// Generation in force.
+    /// Generation of the bundle in force.
     pub generation: Gauge,
-    /// Calls to the platform.
+    /// Number of calls to the platform, by kind.
     pub platform_calls: Family<Call, Gauge>,
-    /// Bytes of records taken from and handed to peers.
+    /// Bytes of the records that this process has applied.
     pub exchanged_bytes: Counter,
-    /// Changes of expert maps that this process brought in force.
+    /// Number of expert maps that this process has put in force.
     pub map_changes: Counter,
 }
 
 impl Metrics {
-    /// The text form of all metrics.
+    /// Returns all metrics in text form.
     pub fn encode(&self) -> String {
         let mut registry = Registry::with_prefix("loftcove");
         registry.register("requests", "Requests by final outcome", self.requests.clone());
