--- a/daemon/src/status.rs
+++ b/daemon/src/status.rs
@@ -5,53 +5,53 @@
 
 use crate::process;
 
-/// The role's part of a status.
+/// Source of the role's part of a status.
 pub trait Source: Send + Sync + 'static {
-    /// Servers that an entry host knows, or the one that an agent stands before.
+    /// Returns the backend servers that an entry host knows, or the one of an agent.
     fn servers(&self) -> Vec<Server>;
-    /// Teams with requests in flight.
+    /// Returns the teams with requests in flight.
     fn teams(&self) -> Vec<Team>;
-    /// Groups that this process drives, or that its rank belongs to.
+    /// Returns the groups whose expert maps this process drives, or the group of its rank.
     fn groups(&self) -> Vec<Group>;
 }
 
 /// Status of a process.
 #[derive(Debug, Serialize)]
 pub struct Snapshot {
-    /// Id of the host.
+    /// Id of the process's host.
     pub host: String,
-    /// Availability zone.
+    /// Availability zone of the host.
     pub zone: String,
-    /// Number of the run.
+    /// Number of the run of the process.
     pub incarnation: u64,
     /// `starting`, `serving`, `draining` or `stopped`.
     pub phase: &'static str,
-    /// Generation in force.
+    /// Generation of the bundle in force.
     pub generation: u64,
-    /// Digest of the bundle in force; empty before the first.
+    /// Digest of the bundle in force; empty before the first one.
     pub digest: String,
     /// Revision of the host list.
     pub hosts_revision: u64,
     /// Requests in flight.
     pub in_flight: usize,
-    /// Backend servers.
+    /// Status of the backend servers.
     pub servers: Vec<Server>,
-    /// Teams.
+    /// Status of the teams.
     pub teams: Vec<Team>,
-    /// Groups.
+    /// Status of the groups.
     pub groups: Vec<Group>,
 }
 
 /// Status of a backend server.
 #[derive(Debug, Serialize)]
 pub struct Server {
-    /// Id of its host.
+    /// Id of the server's host.
     pub host: String,
     /// `usable`, `leaving`, `ejected` or `down`.
     pub state: &'static str,
-    /// Requests in flight, as this process counts them.
+    /// Requests in flight, as counted by this process.
     pub in_flight: u32,
-    /// How many this process allows.
+    /// Maximum number of requests that this process allows in flight.
     pub window: u32,
 }
 
@@ -60,9 +60,9 @@
 pub struct Team {
     /// Name.
     pub name: String,
-    /// Requests in flight and waiting here.
+    /// Requests of the team that are in flight or queued at this process.
     pub held: u32,
-    /// How many are allowed here.
+    /// Maximum number of requests that this process allows the team.
     pub limit: u32,
 }
 
@@ -71,13 +71,14 @@
 pub struct Group {
     /// Name.
     pub name: String,
-    /// Epoch of the expert map.
+    /// Epoch of the group's expert map.
     pub epoch: u64,
-    /// Skew by the last observation, 1 is perfect; none where it is not known here.
+    /// Load skew between the ranks by the last observation, where 1 is perfect balance. None if
+    /// this process does not know it.
     pub skew: Option<f64>,
 }
 
-/// Name of a phase.
+/// Returns the name of a phase.
 pub fn phase(phase: lifecycle::Phase) -> &'static str {
     match phase {
         lifecycle::Phase::Starting => "starting",
@@ -87,7 +88,7 @@
     }
 }
 
-/// The present status.
+/// Returns the present status of a process.
 pub fn snapshot(process: &process::Process, source: &impl Source) -> Snapshot {
     let own = &process.settings.process;
     Snapshot {
--- a/daemon/src/stop.rs
+++ b/daemon/src/stop.rs
@@ -1,4 +1,4 @@
-//! Planned stops: the first signal drains, the second ends at once.
+//! Planned stops. The first signal starts the drain, and the second ends the process immediately.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,18 +8,18 @@
 
 use crate::{Error, process};
 
-/// The signals that ask for a stop.
+/// Receivers of the signals that request a stop.
 pub struct Signals {
     terminate: Signal,
     interrupt: Signal,
 }
 
 impl Signals {
-    /// Begins to receive them.
+    /// Installs the signal handlers.
     ///
     /// # Errors
     ///
-    /// [`Error::Signal`].
+    /// Returns [`Error::Signal`] if a handler cannot be installed.
     pub fn new() -> Result<Signals, Error> {
         let terminate = signal(SignalKind::terminate()).map_err(Error::Signal)?;
         let interrupt = signal(SignalKind::interrupt()).map_err(Error::Signal)?;
@@ -34,8 +34,8 @@
     }
 }
 
-/// Waits for a stop, calls `begin` when the drain begins, and returns when the
-/// process may exit.
+/// Waits for a stop signal, calls `begin` at the start of the drain, and returns when the process
+/// may exit.
 pub async fn wait<F: Future<Output = ()>>(
     process: &Arc<process::Process>,
     mut signals: Signals,
@@ -48,7 +48,7 @@
     let mut phase = process.lifecycle.subscribe();
     let finished = async {
         begin().await;
-        // The sender lives as long as the process.
+        // The sender exists as long as the process, so that waiting does not fail.
         phase.wait_for(|phase| *phase == lifecycle::Phase::Stopped).await.ok();
     };
     tokio::select! {
@@ -57,11 +57,13 @@
             process.lifecycle.handle(lifecycle::Event::Expired);
             log::warn!("drain expired in_flight={}", process.lifecycle.in_flight());
         }
-        _ = signals.next() => log::warn!("second signal in_flight={}", process.lifecycle.in_flight()),
+        _ = signals.next() => {
+            log::warn!("second signal in_flight={}", process.lifecycle.in_flight())
+        }
     }
-    // Answers that have just ended are still on their way out.
+    // The last bytes of completed responses may not have been sent yet.
     tokio::time::sleep(FLUSH_DELAY).await;
 }
 
-/// Time for the last bytes to leave.
+/// Time for sending the last bytes of responses before the process exits.
 const FLUSH_DELAY: Duration = Duration::from_millis(50);
--- a/daemon/src/system.rs
+++ b/daemon/src/system.rs
@@ -1,4 +1,4 @@
-//! The roles that run on the users' machines: gateway and sidecar, with the
+//! Runs the gateway and the sidecar, which are the roles on the users' machines, with the
 //! platform's adapter.
 
 use std::path::Path;
@@ -8,7 +8,7 @@
 
 use crate::{Error, logging, sink};
 
-/// Runs a gateway with the settings of a file.
+/// Runs a gateway with the settings of the file at `path`.
 pub fn gateway(path: &Path) -> Result<(), Error> {
     let settings = read(settings::Gateway::read(path))?;
     let sink = logging::to_stdout(settings.host.log_level);
@@ -20,7 +20,7 @@
     finish(&sink, result)
 }
 
-/// Runs a sidecar with the settings of a file.
+/// Runs a sidecar with the settings of the file at `path`.
 pub fn sidecar(path: &Path) -> Result<(), Error> {
     let settings = read(settings::Sidecar::read(path))?;
     let sink = logging::to_stdout(settings.host.log_level);
@@ -37,6 +37,7 @@
     settings.map_err(Error::from)
 }
 
+/// Logs a failure and writes the remaining log lines to standard output.
 fn finish(sink: &sink::Sink, result: Result<(), Error>) -> Result<(), Error> {
     if let Err(error) = &result {
         log::error!("failed error=\"{error}\"");
