--- a/daemon/src/admin.rs
+++ b/daemon/src/admin.rs
@@ -1,4 +1,4 @@
-//! Health and metrics over HTTP, for whoever watches the process.
+//! Health checks and metrics over HTTP, for operators and monitoring.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -13,16 +13,16 @@
 
 use crate::{metrics, process};
 
-/// Paths that are answered here.
+/// Returns whether [`answer`] serves a path.
 pub fn is_path(path: &str) -> bool {
     matches!(path, "/healthz" | "/readyz" | "/metrics")
 }
 
-/// Answers one of the paths.
+/// Returns the response for a path.
 pub fn answer(process: &process::Process, path: &str) -> http::Response<Full<Bytes>> {
     let (status, text) = match path {
         "/healthz" => (http::StatusCode::OK, "ok\n".to_owned()),
-        "/readyz" if process.life.phase() == lifecycle::Phase::Serving => {
+        "/readyz" if process.lifecycle.phase() == lifecycle::Phase::Serving => {
             (http::StatusCode::OK, "ready\n".to_owned())
         }
         "/readyz" => (http::StatusCode::SERVICE_UNAVAILABLE, "not ready\n".to_owned()),
@@ -34,18 +34,19 @@
     response
 }
 
+/// Updates the gauges that are read on demand, and returns all metrics in text form.
 fn encode(process: &process::Process) -> String {
     let calls = process.platform.calls();
     let kinds = [("read", &calls.reads), ("watch", &calls.watches), ("write", &calls.writes)];
     for (kind, count) in kinds {
-        let gauge = process.metrics.platform.get_or_create(&metrics::Call { kind });
+        let gauge = process.metrics.platform_calls.get_or_create(&metrics::Call { kind });
         gauge.set(count.load(Ordering::Relaxed) as i64);
     }
-    process.metrics.in_flight.set(process.life.in_flight() as i64);
+    process.metrics.in_flight.set(process.lifecycle.in_flight() as i64);
     process.metrics.encode()
 }
 
-/// Serves the paths on an address of their own until the process ends.
+/// Serves the paths on a separate address until the process exits.
 pub async fn serve(process: Arc<process::Process>, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else { continue };
--- a/daemon/src/agent/orders.rs
+++ b/daemon/src/agent/orders.rs
@@ -1,4 +1,7 @@
-//! The agent's gate for orders about the expert map.
+//! Executes orders about the expert map, unless they are stale.
+//!
+//! A *fence* is the revision of the group's record in the platform that an order was made under.
+//! The agent rejects orders with a lower fence than the highest one received ([`gate::Gate`]).
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,36 +16,37 @@
 
 use crate::agent::Agent;
 
-/// Longest wait for the backend server to prepare a map: it loads weights.
+/// Time limit for the backend server to prepare a map, which includes loading weights.
 const PREPARE_TIMEOUT: Duration = Duration::from_secs(20);
-/// Longest wait for the backend server to go over to a prepared map.
+/// Time limit for the backend server to switch to a prepared map.
 const ACTIVATE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Pause between two tries to learn the fence.
-const LEARN_PAUSE: Duration = Duration::from_millis(250);
-/// Longest wait for another rank's agent.
-const ASK_TIMEOUT: Duration = Duration::from_millis(500);
+/// Pause between two attempts to read the fence.
+const FENCE_RETRY_PAUSE: Duration = Duration::from_millis(250);
+/// Time limit for a query to another rank's agent.
+const QUERY_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The gate. It is held while an order is carried out, so that a stale one
-/// cannot pass between the weighing and the carrying out of a newer one.
+/// The gate of a rank. It stays locked while an order is executed, because a stale order must not
+/// be executed between the check and the execution of a newer one.
 #[derive(Debug, Default)]
 pub struct Orders {
     gate: Mutex<gate::Gate>,
 }
 
-/// What the backend server takes to prepare a map.
+/// Body of a request to prepare a map.
 #[derive(Serialize)]
 struct Prepare<'a> {
     epoch: u64,
     layers: &'a Vec<Vec<Vec<u32>>>,
 }
 
+/// Body of a request to switch to a prepared map.
 #[derive(Serialize)]
 struct Activate {
     epoch: u64,
 }
 
-/// Carries an order out, if the gate lets it through.
-pub async fn carry_out(agent: &Agent, message: wire::Order) -> wire::Verdict {
+/// Executes an order if the gate accepts it. A query only returns the fence.
+pub async fn execute(agent: &Agent, message: wire::Order) -> wire::Verdict {
     let mut gate = agent.orders.gate.lock().await;
     if message.action() == wire::Action::Query {
         let ruling = if gate.ready() { wire::Ruling::Done } else { wire::Ruling::Unready };
@@ -58,7 +62,7 @@
         digest: message.digest,
     };
     let ruling = match gate.check(&order) {
-        Ok(()) => obey(agent, &mut gate, &order, &message.map).await,
+        Ok(()) => apply(agent, &mut gate, &order, &message.map).await,
         Err(gate::Refusal::Unready) => wire::Ruling::Unready,
         Err(gate::Refusal::Stale(_)) => wire::Ruling::Stale,
         Err(gate::Refusal::Digest(_) | gate::Refusal::Unprepared(_)) => wire::Ruling::Failed,
@@ -81,7 +85,8 @@
     wire::Verdict { ruling: ruling.into(), fence: gate.fence().0 }
 }
 
-async fn obey(
+/// Sends an accepted order to the backend server.
+async fn apply(
     agent: &Agent,
     gate: &mut gate::Gate,
     order: &gate::Order,
@@ -104,7 +109,7 @@
     wire::Ruling::Done
 }
 
-/// Has the backend server prepare a map, if it is the one that the order names.
+/// Has the backend server prepare a map, if its epoch and digest are those of the order.
 async fn prepare(agent: &Agent, order: &gate::Order, map: &Bytes) -> bool {
     let Ok(map) = serde_json::from_slice::<record::Map>(map) else { return false };
     let named = map.epoch == order.epoch && map.layout.digest() == order.digest;
@@ -116,24 +121,24 @@
     agent.server.order("/control/prepare", body.into(), PREPARE_TIMEOUT).await.is_ok()
 }
 
-/// Learns the group's fence after the start.
+/// Reads the group's fence after the start of the process. The gate rejects orders until then.
 pub async fn run(agent: Arc<Agent>) {
     if agent.settings.rank.is_none() {
         return;
     }
     loop {
-        if let Some(fence) = learn(&agent).await {
+        if let Some(fence) = read_fence(&agent).await {
             agent.orders.gate.lock().await.learn(fence);
-            log::info!("fence learnt group={} fence={fence}", agent.settings.backend);
+            log::info!("fence observed group={} fence={fence}", agent.settings.backend);
             return;
         }
-        tokio::time::sleep(LEARN_PAUSE).await;
+        tokio::time::sleep(FENCE_RETRY_PAUSE).await;
     }
 }
 
-/// The fence, from the platform or, while that is not to be reached, from
-/// another rank's agent: every map in force has passed all of them.
-async fn learn(agent: &Agent) -> Option<gate::Fence> {
+/// Reads the fence from the platform or, if the platform is unreachable, from the agents of the
+/// other ranks. Every map in force has passed the gates of all ranks.
+async fn read_fence(agent: &Agent) -> Option<gate::Fence> {
     let own = &agent.process.settings.process;
     let name = key::map(&own.deployment, &agent.settings.backend);
     if let Ok(entry) = agent.process.platform.get(&name).await {
@@ -143,19 +148,20 @@
     let others = list.hosts.iter().filter(|host| {
         host.backend == agent.settings.backend && host.rank.is_some() && host.id != own.host
     });
-    let calls = others.map(|host| ask(agent, host.address));
+    let calls = others.map(|host| query_fence(agent, host.address));
     let answers = futures_util::future::join_all(calls).await;
     answers.into_iter().flatten().max()
 }
 
-async fn ask(agent: &Agent, address: std::net::SocketAddr) -> Option<gate::Fence> {
+/// Returns the fence of another rank's agent, if that agent responds and knows it.
+async fn query_fence(agent: &Agent, address: std::net::SocketAddr) -> Option<gate::Fence> {
     let mut client = agent.process.links.get(address).agent.clone();
     let order = wire::Order {
         group: agent.settings.backend.to_string(),
         action: wire::Action::Query.into(),
         ..wire::Order::default()
     };
-    let answer = tokio::time::timeout(ASK_TIMEOUT, client.command(order)).await;
+    let answer = tokio::time::timeout(QUERY_TIMEOUT, client.command(order)).await;
     let verdict = answer.ok()?.ok()?.into_inner();
     (verdict.ruling() == wire::Ruling::Done).then_some(gate::Fence(verdict.fence))
 }
--- a/daemon/src/agent/run.rs
+++ b/daemon/src/agent/run.rs
@@ -1,4 +1,4 @@
-//! Carries one attempt out on the backend server.
+//! Executes one attempt on the backend server.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,33 +15,37 @@
 
 /// Header with the request's id, which model engines echo.
 const REQUEST_ID: &str = "x-request-id";
-/// Header with the precedence, which model engines honour.
+/// Header with the precedence, which model engines schedule by.
 const PRIORITY: &str = "x-priority";
-/// Frames that may wait for a slow caller before the backend server is held up.
-const BACKLOG: usize = 32;
+/// Frames buffered for a slow caller. Once the buffer is full, the response is read no further.
+const FRAME_BUFFER: usize = 32;
 
 /// Frames of one attempt.
 pub type Frames = mpsc::Receiver<Result<wire::Frame, tonic::Status>>;
 
-/// Reads the id of an attempt.
-pub fn read_id(id: &wire::AttemptId) -> Option<attempt::Id> {
+/// Parses the id of an attempt. Returns `None` if the request id is not a UUID.
+pub fn parse_id(id: &wire::AttemptId) -> Option<attempt::Id> {
     let request = uuid::Uuid::from_slice(&id.request).ok()?;
     Some(attempt::Id { request, number: id.number, incarnation: id.incarnation })
 }
 
-/// Starts an attempt; its frames say what comes of it.
+/// Starts an attempt, or rejects it. Returns the frames, which report its result.
+///
+/// # Errors
+///
+/// Returns `InvalidArgument` if the message has no valid id.
 pub fn start(agent: &Arc<Agent>, message: wire::Attempt) -> Result<Frames, tonic::Status> {
     let wire_id = message.id.clone().unwrap_or_default();
-    let id = read_id(&wire_id).ok_or(tonic::Status::invalid_argument("attempt without an id"))?;
-    let (sender, receiver) = mpsc::channel(BACKLOG);
+    let id = parse_id(&wire_id).ok_or(tonic::Status::invalid_argument("attempt without an id"))?;
+    let (sender, receiver) = mpsc::channel(FRAME_BUFFER);
     let history = &agent.process.history;
     let subject = id.request.to_string();
     match admit(agent, &message, id) {
-        Ok((slot, flight)) => {
+        Ok((slot, in_flight)) => {
             history.record(&subject, format!("attempt={} choice=run", id.number));
-            let guard = Guard { agent: agent.clone(), id, _slot: slot, _flight: flight };
-            let run = Run { agent: agent.clone(), id: wire_id, sender, guard };
-            tokio::spawn(run.carry_out(message));
+            let guard = Guard { agent: agent.clone(), id, _slot: slot, _in_flight: in_flight };
+            let call = Call { agent: agent.clone(), id: wire_id, sender, guard };
+            tokio::spawn(call.execute(message));
         }
         Err(reason) => {
             let word = reason.as_str_name();
@@ -50,14 +54,14 @@
                 wire::Refused { reason: reason.into(), report: Some(agent.load.report()) };
             let kind = Some(wire::frame::Kind::Refused(refused));
             let frame = wire::Frame { id: Some(wire_id), kind };
-            // A fresh channel has room.
+            // The channel is empty, so that the send succeeds.
             sender.try_send(Ok(frame)).unwrap_or_default();
         }
     }
     Ok(receiver)
 }
 
-/// Takes a slot and records the start: from here on the attempt may run.
+/// Acquires a slot and records the start. From then on, the attempt may run.
 fn admit(
     agent: &Arc<Agent>,
     message: &wire::Attempt,
@@ -66,14 +70,14 @@
     if *message.backend != *agent.settings.backend {
         return Err(wire::Refusal::Backend);
     }
-    if !agent.takes_work() {
+    if !agent.accepts_work() {
         return Err(wire::Refusal::Leaving);
     }
     if message.budget_ms == 0 {
         return Err(wire::Refusal::Deadline);
     }
-    let flight = agent.process.life.enter().ok_or(wire::Refusal::Leaving)?;
-    let slot = poll::Load::enter(agent).ok_or(wire::Refusal::Full)?;
+    let in_flight = agent.process.lifecycle.enter().ok_or(wire::Refusal::Leaving)?;
+    let slot = poll::Load::acquire(agent).ok_or(wire::Refusal::Full)?;
     let expiry = clock::Wall::from_millis(message.expiry_ms);
     let now = agent.process.clock.wall();
     let started = lock(agent).start(id, expiry, now);
@@ -83,20 +87,20 @@
         attempt::Refusal::Expired => wire::Refusal::Deadline,
         attempt::Refusal::Full => wire::Refusal::Full,
     })?;
-    Ok((slot, flight))
+    Ok((slot, in_flight))
 }
 
-/// The table of attempts.
+/// Locks the table of attempts.
 pub fn lock(agent: &Agent) -> std::sync::MutexGuard<'_, attempt::Table> {
     agent.attempts.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
 }
 
-/// A running attempt; dropping it records its end.
+/// Guard of a running attempt. Dropping it records the end of the attempt.
 struct Guard {
     agent: Arc<Agent>,
     id: attempt::Id,
     _slot: poll::Slot,
-    _flight: life::InFlight,
+    _in_flight: life::InFlight,
 }
 
 impl Drop for Guard {
@@ -105,20 +109,21 @@
     }
 }
 
-struct Run {
+/// The call to the backend server that executes an attempt.
+struct Call {
     agent: Arc<Agent>,
     id: wire::AttemptId,
     sender: mpsc::Sender<Result<wire::Frame, tonic::Status>>,
     guard: Guard,
 }
 
-impl Run {
-    async fn carry_out(self, message: wire::Attempt) {
+impl Call {
+    async fn execute(self, message: wire::Attempt) {
         self.agent.process.metrics.attempts.inc();
         let budget = Duration::from_millis(u64::from(message.budget_ms));
         let caller = self.sender.clone();
-        // Dropping the call closes its connection, which cancels it at the
-        // backend server and frees its slot there.
+        // Dropping the future closes the connection. The backend server then cancels the request
+        // and releases its slot.
         tokio::select! {
             _ = tokio::time::timeout(budget, self.relay(message)) => {}
             _ = caller.closed() => {}
@@ -128,18 +133,18 @@
     async fn relay(&self, message: wire::Attempt) {
         let Some(request) = self.request(message) else {
             lock(&self.agent).withdraw(self.guard.id);
-            self.refuse(wire::Refusal::Backend).await;
+            self.send_refusal(wire::Refusal::Backend).await;
             return;
         };
         match self.agent.server.send(request).await {
-            Ok(response) => self.pass_on(response).await,
+            Ok(response) => self.relay_response(response).await,
             Err(server::Error::Connect) => {
                 lock(&self.agent).withdraw(self.guard.id);
-                self.refuse(wire::Refusal::Unreachable).await;
+                self.send_refusal(wire::Refusal::Unreachable).await;
             }
             Err(error) => {
-                let server_end = self.agent.server.ended().await;
-                self.break_off(&error.to_string(), server_end).await;
+                let server_end = self.agent.server.detect_end().await;
+                self.send_broken(&error.to_string(), server_end).await;
             }
         }
     }
@@ -159,16 +164,16 @@
         Some(request)
     }
 
-    async fn pass_on(&self, response: http::Response<Incoming>) {
-        if !self.echoes(&response) {
-            self.break_off("the backend server answered another request", None).await;
+    async fn relay_response(&self, response: http::Response<Incoming>) {
+        if !self.matches_request(&response) {
+            self.send_broken("the backend server answered another request", None).await;
             return;
         }
         let header = |(name, value): (&http::HeaderName, &http::HeaderValue)| wire::Header {
             name: name.as_str().to_owned(),
             value: value.as_bytes().to_vec().into(),
         };
-        let kept = response.headers().iter().filter(|(name, _)| !is_hop(name));
+        let kept = response.headers().iter().filter(|(name, _)| !is_hop_by_hop(name));
         let head = wire::Head {
             status: u32::from(response.status().as_u16()),
             headers: kept.map(header).collect(),
@@ -182,8 +187,8 @@
                 }
                 Ok(_) => {}
                 Err(error) => {
-                    let server_end = self.agent.server.ended().await;
-                    self.break_off(&error.to_string(), server_end).await;
+                    let server_end = self.agent.server.detect_end().await;
+                    self.send_broken(&error.to_string(), server_end).await;
                     return;
                 }
             }
@@ -192,33 +197,35 @@
         self.send(wire::frame::Kind::End(end)).await;
     }
 
-    /// Whether the answer is to this request: whoever echoes an id must echo this one.
-    fn echoes(&self, response: &http::Response<Incoming>) -> bool {
+    /// Returns whether the response belongs to this request. A backend server need not echo the
+    /// request's id, but must not echo another one.
+    fn matches_request(&self, response: &http::Response<Incoming>) -> bool {
         let Some(echo) = response.headers().get(REQUEST_ID) else { return true };
         let own = uuid::Uuid::from_slice(&self.id.request).map(|id| id.to_string());
         own.is_ok_and(|own| echo.as_bytes() == own.as_bytes())
     }
 
-    async fn refuse(&self, reason: wire::Refusal) {
+    async fn send_refusal(&self, reason: wire::Refusal) {
         let refused =
             wire::Refused { reason: reason.into(), report: Some(self.agent.load.report()) };
         self.send(wire::frame::Kind::Refused(refused)).await;
     }
 
-    async fn break_off(&self, reason: &str, server_end: Option<u64>) {
+    async fn send_broken(&self, reason: &str, server_end: Option<u64>) {
         let broken = wire::Broken { reason: reason.to_owned(), server_end };
         self.send(wire::frame::Kind::Broken(broken)).await;
     }
 
     async fn send(&self, kind: wire::frame::Kind) {
         let frame = wire::Frame { id: Some(self.id.clone()), kind: Some(kind) };
-        // A caller that left closes the channel, which ends the whole run.
+        // A disconnected caller closes the channel, and `execute` then cancels the call.
         self.sender.send(Ok(frame)).await.unwrap_or_default();
     }
 }
 
-/// Headers that belong to one connection.
-fn is_hop(name: &http::HeaderName) -> bool {
-    const HOP: [&str; 5] = ["connection", "keep-alive", "te", "transfer-encoding", "upgrade"];
-    HOP.contains(&name.as_str())
+/// Returns whether a header applies to one connection only.
+fn is_hop_by_hop(name: &http::HeaderName) -> bool {
+    const HOP_BY_HOP: [&str; 5] =
+        ["connection", "keep-alive", "te", "transfer-encoding", "upgrade"];
+    HOP_BY_HOP.contains(&name.as_str())
 }
--- a/daemon/src/entry/assignment.rs
+++ b/daemon/src/entry/assignment.rs
@@ -26,7 +26,7 @@
 pub async fn run(entry: Arc<Entry>) {
     loop {
         tokio::time::sleep(clock::jitter(CHECK_INTERVAL, 0.5..1.5)).await;
-        if needs_update(&entry.process) && leader::is_me(&entry.process, TASK, |_| true).await {
+        if needs_update(&entry.process) && leader::is_self(&entry.process, TASK, |_| true).await {
             update_table(&entry.process).await;
         }
     }
@@ -103,5 +103,5 @@
 /// Applies a table that was read or written, without waiting for gossip.
 fn apply(process: &process::Process, entry: store::Entry) {
     let kind = wire::Kind::Homes.into();
-    process.take(wire::Record { kind, revision: entry.revision, value: entry.value });
+    process.apply_record(wire::Record { kind, revision: entry.revision, value: entry.value });
 }
--- a/daemon/src/entry/server.rs
+++ b/daemon/src/entry/server.rs
@@ -37,7 +37,7 @@
 async fn serve_connection(entry: Arc<Entry>, stream: TcpStream) {
     // Tokens are small, and Nagle's algorithm would delay them.
     stream.set_nodelay(true).unwrap_or_default();
-    let mut phase = entry.process.life.subscribe();
+    let mut phase = entry.process.lifecycle.subscribe();
     let service = hyper::service::service_fn(move |request| flow::handle(entry.clone(), request));
     let mut builder = auto::Builder::new(TokioExecutor::new());
     builder
--- a/daemon/src/life.rs
+++ b/daemon/src/life.rs
@@ -1,4 +1,4 @@
-//! The process's life, shared by its tasks.
+//! Lifecycle of the process, shared by its tasks.
 
 use std::sync::{Arc, Mutex};
 
@@ -6,8 +6,8 @@
 use statig::blocking::StateMachine;
 use tokio::sync::watch;
 
-/// The machine, the count of requests in flight, and who waits for a change.
-pub struct Life {
+/// The state machine, the number of requests in flight, and the phase that tasks subscribe to.
+pub struct Lifecycle {
     inner: Mutex<Inner>,
     phase: watch::Sender<lifecycle::Phase>,
 }
@@ -17,42 +17,42 @@
     in_flight: usize,
 }
 
-impl Default for Life {
-    fn default() -> Life {
+impl Default for Lifecycle {
+    fn default() -> Lifecycle {
         let machine = lifecycle::Lifecycle::machine();
-        Life {
+        Lifecycle {
             inner: Mutex::new(Inner { machine, in_flight: 0 }),
             phase: watch::Sender::new(lifecycle::Phase::Starting),
         }
     }
 }
 
-impl Life {
-    /// Hands the machine an event.
+impl Lifecycle {
+    /// Passes an event to the state machine.
     pub fn handle(&self, event: lifecycle::Event) {
         let mut inner = self.lock();
         inner.machine.handle(&event);
         self.publish(&inner);
     }
 
-    /// What the process may do.
+    /// Returns the phase of the process.
     pub fn phase(&self) -> lifecycle::Phase {
         *self.phase.borrow()
     }
 
-    /// Follows the phase.
+    /// Returns a receiver of changes of the phase.
     pub fn subscribe(&self) -> watch::Receiver<lifecycle::Phase> {
         self.phase.subscribe()
     }
 
-    /// Requests in flight.
+    /// Returns the number of requests in flight.
     pub fn in_flight(&self) -> usize {
         self.lock().in_flight
     }
 
-    /// Counts a request until the guard is dropped. `None` where the process
-    /// takes no new work: the check and the count are one step.
-    pub fn enter(self: &Arc<Life>) -> Option<InFlight> {
+    /// Counts a request as in flight until the guard is dropped. Returns `None` if the process
+    /// accepts no new work. The check and the count are one atomic step.
+    pub fn enter(self: &Arc<Lifecycle>) -> Option<InFlight> {
         let mut inner = self.lock();
         if self.phase() != lifecycle::Phase::Serving {
             return None;
@@ -60,7 +60,7 @@
         inner.in_flight += 1;
         let count = inner.in_flight;
         inner.machine.handle(&lifecycle::Event::InFlight(count));
-        Some(InFlight { life: self.clone() })
+        Some(InFlight { lifecycle: self.clone() })
     }
 
     fn publish(&self, inner: &Inner) {
@@ -73,17 +73,17 @@
     }
 }
 
-/// A request in flight; dropping it ends it.
+/// Guard of a request in flight. Dropping it ends the request.
 pub struct InFlight {
-    life: Arc<Life>,
+    lifecycle: Arc<Lifecycle>,
 }
 
 impl Drop for InFlight {
     fn drop(&mut self) {
-        let mut inner = self.life.lock();
+        let mut inner = self.lifecycle.lock();
         inner.in_flight -= 1;
         let count = inner.in_flight;
         inner.machine.handle(&lifecycle::Event::InFlight(count));
-        self.life.publish(&inner);
+        self.lifecycle.publish(&inner);
     }
 }
--- a/daemon/src/peer.rs
+++ b/daemon/src/peer.rs
@@ -1,4 +1,4 @@
-//! The service that every process offers its peers and the tool.
+//! The gRPC service of every process, which peers and the command line tool call.
 
 use std::sync::Arc;
 
@@ -7,14 +7,14 @@
 
 use crate::{process, status};
 
-/// The service.
+/// Implementation of the service.
 pub struct Peer<S> {
     process: Arc<process::Process>,
     source: S,
 }
 
 impl<S: status::Source> Peer<S> {
-    /// Serves for the process; the role's part of the status comes from `source`.
+    /// Creates the service of a process. `source` supplies the role's part of the status.
     pub fn new(process: Arc<process::Process>, source: S) -> Peer<S> {
         Peer { process, source }
     }
@@ -32,7 +32,7 @@
 
     async fn push(&self, request: Request<wire::Update>) -> Result<Response<wire::Ask>, Status> {
         for record in request.into_inner().records {
-            self.process.take(record);
+            self.process.apply_record(record);
         }
         Ok(Response::new(wire::Ask {}))
     }
@@ -48,7 +48,7 @@
         &self,
         request: Request<wire::Subject>,
     ) -> Result<Response<wire::Explanation>, Status> {
-        let lines = self.process.history.about(&request.into_inner().request);
+        let lines = self.process.history.entries(&request.into_inner().request);
         Ok(Response::new(wire::Explanation { lines }))
     }
 }
