--- a/decision/src/map/difference.rs
+++ b/decision/src/map/difference.rs
@@ -27,17 +27,18 @@
 /// Maximum prefix length of an Exp-Golomb code: counts and distances are below 2^16.
 const MAX_PREFIX: u32 = u16::BITS;
 
-/// Reason for which a difference was not applied.
+/// Reason for which a difference was not applied. The texts are sent to peers as messages of gRPC
+/// statuses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
     /// The encoding is truncated or has trailing bytes.
-    #[error("difference is truncated or has trailing bytes")]
+    #[error("difference is cut off or too long")]
     Length,
     /// A rank, an index or an expert is out of range.
-    #[error("difference does not match the shape of its base map")]
+    #[error("difference does not fit the map that it is applied to")]
     Shape,
     /// The digest of the result differs from the expected one.
-    #[error("digest of the result does not match the expected digest")]
+    #[error("digest of the result is not the expected one")]
     Digest,
 }
 
--- a/gateway/src/ended.rs
+++ b/gateway/src/ended.rs
@@ -6,9 +6,9 @@
 //! connections. A server that is leaving exits by plan, even with requests running.
 //!
 //! If the break is noticed late, another run may already accept connections at the address; one did
-//! 1.1 s after the end. If the break is noticed early, the listening port of an exiting process may
-//! still be open while its connections are closed one after the other. Therefore a server that
-//! accepts connections is checked once more.
+//! 1.1 s after the end was detected. If the break is noticed early, the listening port of an
+//! exiting process may still be open while its connections are closed one after the other.
+//! Therefore a server that accepts connections is checked once more.
 
 use std::time::Duration;
 
