--- a/tool/src/bundle.rs
+++ b/tool/src/bundle.rs
@@ -1,4 +1,7 @@
-//! Commands about bundles.
+//! The `bundle` commands: check, propose, approve, roll forward and withdraw bundles.
+//!
+//! A bundle is *in force* while its signed envelope is the platform's record for the deployment.
+//! The envelope's *generation* is one more than that of the envelope that it replaced.
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
@@ -10,7 +13,7 @@
 
 use crate::{Context, error};
 
-/// Runs one of the commands. Those that need no platform need no settings.
+/// Runs one `bundle` command. The settings are read only for commands that call the platform.
 pub async fn run(
     context: impl Fn() -> Result<Context, error::Error>,
     arguments: &mut pico_args::Arguments,
@@ -33,7 +36,8 @@
     }
 }
 
-fn read(file: &Path) -> Result<(String, content::Content), error::Error> {
+/// Reads and parses a bundle's text.
+fn read_bundle(file: &Path) -> Result<(String, content::Content), error::Error> {
     let text = std::fs::read_to_string(file)
         .map_err(|source| error::Error::File { file: file.to_owned(), source })?;
     let content = content::Content::parse(&text)?;
@@ -41,16 +45,17 @@
 }
 
 fn check(file: &Path) -> Result<(), error::Error> {
-    let (text, _) = read(file)?;
+    let (text, _) = read_bundle(file)?;
     println!("{}: ok, digest {}", file.display(), sign::Digest::of(&text));
     Ok(())
 }
 
+/// Prints the lines that only one of two bundles has in its canonical text.
 fn diff(old: &Path, new: &Path) -> Result<(), error::Error> {
     let lines = |content: &content::Content| -> Vec<String> {
         content.to_string().lines().map(str::to_owned).collect()
     };
-    let (old, new) = (lines(&read(old)?.1), lines(&read(new)?.1));
+    let (old, new) = (lines(&read_bundle(old)?.1), lines(&read_bundle(new)?.1));
     let (old_set, new_set): (BTreeSet<_>, BTreeSet<_>) =
         (old.iter().collect(), new.iter().collect());
     for line in old.iter().filter(|line| !new_set.contains(line)) {
@@ -62,7 +67,7 @@
     Ok(())
 }
 
-/// Writes a value and tells whether it was this write that took effect.
+/// Writes a value by compare-and-swap and returns whether this write took effect.
 async fn write(
     context: &Context,
     name: &str,
@@ -72,21 +77,22 @@
     let value: Bytes = value.into();
     store::swap_confirmed(&context.platform, name, expected, value)
         .await
-        .map_err(error::Error::Unsettled)
+        .map_err(error::Error::UnknownOutcome)
 }
 
+/// Reads a JSON record of the platform.
 async fn load<T: serde::de::DeserializeOwned>(
     context: &Context,
     name: &str,
 ) -> Result<Option<(store::Revision, T)>, error::Error> {
     let Some(entry) = context.platform.get(name).await? else { return Ok(None) };
     let value = serde_json::from_slice(&entry.value)
-        .map_err(|source| error::Error::Stored { key: name.to_owned(), source })?;
+        .map_err(|source| error::Error::InvalidRecord { key: name.to_owned(), source })?;
     Ok(Some((entry.revision, value)))
 }
 
 async fn propose(context: &Context, file: &Path) -> Result<(), error::Error> {
-    let (text, content) = read(file)?;
+    let (text, content) = read_bundle(file)?;
     if content.deployment != context.settings.deployment {
         return Err(error::Error::Deployment(content.deployment));
     }
@@ -94,13 +100,13 @@
     let proposer = context.signer()?.sign(sign::Step::Proposal, digest);
     let proposal = envelope::Proposal { text, proposer, approver: None };
     let name = key::proposal(&context.settings.deployment, &digest.to_string());
-    // A text that was proposed before stays its first proposer's.
+    // If the same text was proposed before, the write has no effect and the first proposer stays.
     write(context, &name, 0, serde_json::to_vec(&proposal)?).await?;
     println!("{digest}");
     Ok(())
 }
 
-async fn proposal(
+async fn load_proposal(
     context: &Context,
     digest: &str,
 ) -> Result<(store::Revision, envelope::Proposal), error::Error> {
@@ -110,7 +116,7 @@
 
 async fn approve(context: &Context, digest: &str) -> Result<(), error::Error> {
     let digest = sign::Digest::parse(digest)?;
-    let (revision, mut proposal) = proposal(context, &digest.to_string()).await?;
+    let (revision, mut proposal) = load_proposal(context, &digest.to_string()).await?;
     let found = sign::Digest::of(&proposal.text);
     if found != digest {
         return Err(loftcove_bundle::error::Error::Digest { found, signed: digest }.into());
@@ -124,7 +130,7 @@
     }
     if let Some(approver) = proposal.approver {
         let operator = approver.operator;
-        return Err(error::Error::Approved { digest: digest.to_string(), operator });
+        return Err(error::Error::AlreadyApproved { digest: digest.to_string(), operator });
     }
     proposal.approver = Some(signer.sign(sign::Step::Approval, digest));
     let name = key::proposal(&context.settings.deployment, &digest.to_string());
@@ -137,79 +143,85 @@
     }
 }
 
-async fn in_force(
+/// Returns the envelope in force with its revision.
+async fn load_in_force(
     context: &Context,
 ) -> Result<Option<(store::Revision, envelope::Envelope)>, error::Error> {
     load(context, &key::in_force(&context.settings.deployment)).await
 }
 
 async fn roll_forward(context: &Context, digest: &str) -> Result<(), error::Error> {
-    let (_, proposal) = proposal(context, digest).await?;
+    let (_, proposal) = load_proposal(context, digest).await?;
     let approver = proposal.approver.ok_or_else(|| error::Error::NotApproved(digest.to_owned()))?;
-    let present = in_force(context).await?;
-    put_in_force(context, present, proposal.text, proposal.proposer, approver).await
+    let current = load_in_force(context).await?;
+    put_in_force(context, current, proposal.text, proposal.proposer, approver).await
 }
 
 async fn withdraw(context: &Context) -> Result<(), error::Error> {
-    let present = in_force(context).await?.ok_or(error::Error::NothingInForce)?;
-    let generation = present.1.roll.generation;
-    let before = generation.saturating_sub(1);
-    let name = key::history_entry(&context.settings.deployment, before);
-    let past: Option<(store::Revision, envelope::Envelope)> = load(context, &name).await?;
-    let (_, past) = past.ok_or(error::Error::NoPast(generation))?;
-    put_in_force(context, Some(present), past.text, past.proposer, past.approver).await
+    let current = load_in_force(context).await?.ok_or(error::Error::NothingInForce)?;
+    let generation = current.1.roll.generation;
+    let previous_generation = generation.saturating_sub(1);
+    let name = key::history_entry(&context.settings.deployment, previous_generation);
+    let previous: Option<(store::Revision, envelope::Envelope)> = load(context, &name).await?;
+    let (_, previous) = previous.ok_or(error::Error::NoPreviousGeneration(generation))?;
+    put_in_force(context, Some(current), previous.text, previous.proposer, previous.approver).await
 }
 
-/// Rolls a signed text as the next generation, over what was last read.
+/// Puts a signed text in force as the next generation. Fails if the envelope in force is no longer
+/// `current`.
 async fn put_in_force(
     context: &Context,
-    present: Option<(store::Revision, envelope::Envelope)>,
+    current: Option<(store::Revision, envelope::Envelope)>,
     text: String,
     proposer: sign::Mark,
     approver: sign::Mark,
 ) -> Result<(), error::Error> {
-    let (revision, generation) =
-        present.as_ref().map_or((0, 0), |(revision, past)| (*revision, past.roll.generation));
+    let (revision, generation) = current
+        .as_ref()
+        .map_or((0, 0), |(revision, previous)| (*revision, previous.roll.generation));
     let digest = sign::Digest::of(&text);
     let nonce = format!("{:032x}", rand::random::<u128>());
     let roll = context.signer()?.roll(digest, generation + 1, nonce);
     let envelope = envelope::Envelope { text, proposer, approver, roll };
     envelope.open(&context.keyring()?)?;
-    if let Some((_, past)) = &present {
-        // Before it is replaced, the present one must be where `withdraw` looks.
-        archive(context, past).await?;
+    if let Some((_, previous)) = &current {
+        // `withdraw` reads the previous envelope from the history, so it must be there before the
+        // new envelope replaces it.
+        archive(context, previous).await?;
     }
     let name = key::in_force(&context.settings.deployment);
-    let won = match write(context, &name, revision, serde_json::to_vec(&envelope)?).await? {
+    let applied = match write(context, &name, revision, serde_json::to_vec(&envelope)?).await? {
         store::Outcome::Won(_) | store::Outcome::Overtaken(_) => true,
         store::Outcome::Conflict(_) => was_in_force(context, &envelope).await?,
     };
-    if !won {
-        return Err(conflict(context).await?);
+    if !applied {
+        return Err(conflict_error(context).await?);
     }
     println!("generation {} in force, digest {digest}", generation + 1);
     Ok(())
 }
 
-/// Whether the envelope was in force and has been followed by another already:
-/// whoever rolls archives what was in force before.
+/// Returns whether the envelope was in force and has already been replaced. Before a client puts an
+/// envelope in force, it archives the one to be replaced.
 async fn was_in_force(
     context: &Context,
     envelope: &envelope::Envelope,
 ) -> Result<bool, error::Error> {
     let name = key::history_entry(&context.settings.deployment, envelope.roll.generation);
-    let past: Option<(store::Revision, envelope::Envelope)> = load(context, &name).await?;
-    Ok(past.is_some_and(|(_, past)| past == *envelope))
+    let archived: Option<(store::Revision, envelope::Envelope)> = load(context, &name).await?;
+    Ok(archived.is_some_and(|(_, archived)| archived == *envelope))
 }
 
-async fn archive(context: &Context, past: &envelope::Envelope) -> Result<(), error::Error> {
-    let name = key::history_entry(&context.settings.deployment, past.roll.generation);
-    // One that is there already is the same: a generation is won once.
-    write(context, &name, 0, serde_json::to_vec(past)?).await.map(drop)
+/// Writes an envelope to the history.
+async fn archive(context: &Context, envelope: &envelope::Envelope) -> Result<(), error::Error> {
+    let name = key::history_entry(&context.settings.deployment, envelope.roll.generation);
+    // An entry that exists is equal: only one envelope is put in force per generation.
+    write(context, &name, 0, serde_json::to_vec(envelope)?).await.map(drop)
 }
 
-async fn conflict(context: &Context) -> Result<error::Error, error::Error> {
-    let (_, winner) = in_force(context).await?.ok_or(error::Error::NothingInForce)?;
+/// Returns the error that names the envelope which was put in force first.
+async fn conflict_error(context: &Context) -> Result<error::Error, error::Error> {
+    let (_, winner) = load_in_force(context).await?.ok_or(error::Error::NothingInForce)?;
     let operator = winner.roll.mark.operator.clone();
     Ok(error::Error::Conflict { operator, generation: winner.roll.generation })
 }
@@ -235,7 +247,7 @@
 }
 
 async fn status(context: &Context) -> Result<(), error::Error> {
-    if let Some((_, envelope)) = in_force(context).await? {
+    if let Some((_, envelope)) = load_in_force(context).await? {
         print_envelope(context, &envelope);
     }
     for name in context.platform.list(&key::proposals(&context.settings.deployment)).await? {
@@ -264,7 +276,7 @@
             print_envelope(context, &envelope);
         }
     }
-    if let Some((_, envelope)) = in_force(context).await? {
+    if let Some((_, envelope)) = load_in_force(context).await? {
         print_envelope(context, &envelope);
     }
     Ok(())
--- a/tool/src/day.rs
+++ b/tool/src/day.rs
@@ -1,4 +1,4 @@
-//! Sums up a day by the logs of its hosts.
+//! The `explain-day` command: summarizes a day from the logs of its hosts.
 
 use std::fs::File;
 use std::io::{BufRead as _, BufReader, Read};
@@ -13,7 +13,7 @@
 ///
 /// # Errors
 ///
-/// Where a log cannot be read or the picture cannot be written.
+/// Returns an error if a log cannot be read or the plot cannot be written.
 pub fn run(arguments: &mut pico_args::Arguments) -> Result<(), error::Error> {
     let svg: Option<PathBuf> = arguments.opt_value_from_str("--svg")?;
     let mut logs: Vec<PathBuf> = Vec::new();
@@ -21,11 +21,11 @@
         logs.push(log);
     }
     if logs.is_empty() {
-        return Err(error::Error::Logs);
+        return Err(error::Error::NoLogs);
     }
     let mut reader = summary::Reader::default();
     for log in &logs {
-        read(log, &mut reader)?;
+        read_log(log, &mut reader)?;
     }
     let day = reader.finish();
     print!("{}", text::Text(&day));
@@ -36,11 +36,11 @@
     Ok(())
 }
 
-/// Reads one log, with a progress bar on a terminal.
-fn read(log: &Path, reader: &mut summary::Reader) -> Result<(), error::Error> {
-    let fault = |source| error::Error::File { file: log.to_owned(), source };
-    let file = File::open(log).map_err(fault)?;
-    let bar = ProgressBar::new(file.metadata().map_err(fault)?.len());
+/// Reads one log. Shows a progress bar on a terminal.
+fn read_log(log: &Path, reader: &mut summary::Reader) -> Result<(), error::Error> {
+    let file_error = |source| error::Error::File { file: log.to_owned(), source };
+    let file = File::open(log).map_err(file_error)?;
+    let bar = ProgressBar::new(file.metadata().map_err(file_error)?.len());
     if let Ok(style) = ProgressStyle::with_template("{wide_bar} {bytes}/{total_bytes} {eta}") {
         bar.set_style(style);
     }
@@ -48,19 +48,20 @@
     let host = host.unwrap_or_default();
     let mut lines = BufReader::new(bar.wrap_read(file));
     let mut line = Vec::new();
-    while next(&mut lines, &mut line).map_err(fault)? {
+    while read_line(&mut lines, &mut line).map_err(file_error)? {
         reader.take(&String::from_utf8_lossy(&line), &host);
     }
     bar.finish_and_clear();
     Ok(())
 }
 
-/// Longest line that is looked at, bytes: ours are far shorter, and what is no
-/// log must not fill the memory.
-const LONGEST_LINE: u64 = 64 * 1024;
+/// Maximum length of a line, in bytes. Lines of loftcove's logs are far shorter. The limit bounds
+/// the memory use if a file is not a log.
+const MAX_LINE: u64 = 64 * 1024;
 
-/// Reads the next line, or a part of one that is too long.
-fn next(lines: &mut impl std::io::BufRead, line: &mut Vec<u8>) -> std::io::Result<bool> {
+/// Reads the next line, or up to [`MAX_LINE`] bytes of a longer one. Returns false at the end of
+/// the file.
+fn read_line(lines: &mut impl std::io::BufRead, line: &mut Vec<u8>) -> std::io::Result<bool> {
     line.clear();
-    Ok(lines.by_ref().take(LONGEST_LINE).read_until(b'\n', line)? > 0)
+    Ok(lines.by_ref().take(MAX_LINE).read_until(b'\n', line)? > 0)
 }
--- a/tool/src/error.rs
+++ b/tool/src/error.rs
@@ -1,94 +1,94 @@
-//! Every way in which a command can fail.
+//! Errors of the commands.
 
 use std::path::PathBuf;
 use std::sync::Arc;
 
-/// Why a command failed.
+/// Reason for which a command failed.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The command line is not right.
+    /// The command line is invalid.
     #[error(transparent)]
     Arguments(#[from] pico_args::Error),
-    /// No such command.
-    #[error("no command `{0}`; see --help")]
+    /// The command does not exist.
+    #[error("unknown command `{0}`; see --help")]
     Command(String),
-    /// No logs were named.
-    #[error("no logs; explain-day [--svg FILE] LOG...")]
-    Logs,
-    /// A day's picture could not be made.
+    /// The command line has no log files.
+    #[error("no log files given; usage: explain-day [--svg FILE] LOG...")]
+    NoLogs,
+    /// The plot of a day could not be drawn or written.
     #[error(transparent)]
-    Picture(#[from] loftcove_day::plot::Error),
-    /// The settings are not right.
+    Plot(#[from] loftcove_day::plot::Error),
+    /// The settings are invalid.
     #[error(transparent)]
     Settings(#[from] loftcove_settings::error::Error),
     /// A file could not be read or written.
     #[error("{}: {source}", file.display())]
     File {
-        /// The file.
+        /// Path of the file.
         file: PathBuf,
-        /// What the system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The bundle or a signature is not right.
+    /// The bundle or a signature is invalid.
     #[error("bundle: {0}")]
     Bundle(#[from] loftcove_bundle::error::Error),
     /// The bundle is for another deployment.
-    #[error("the bundle is for the deployment {0}")]
+    #[error("the bundle is for deployment {0}")]
     Deployment(Arc<str>),
-    /// The platform did not answer.
+    /// A call to the platform failed.
     #[error(transparent)]
     Platform(#[from] loftcove_platform::error::Error),
-    /// The fate of a write is not known.
-    #[error("it is not known whether the write took effect: {0}; look with `bundle status`")]
-    Unsettled(loftcove_platform::error::Error),
-    /// There is no such proposal.
-    #[error("no proposal {0}")]
+    /// It is unknown whether a write took effect.
+    #[error("outcome of the write is unknown: {0}; check with `bundle status`")]
+    UnknownOutcome(loftcove_platform::error::Error),
+    /// The proposal does not exist.
+    #[error("proposal {0} not found")]
     NoProposal(String),
-    /// The proposal lacks an approval.
+    /// The proposal has no approval.
     #[error("proposal {0} is not approved")]
     NotApproved(String),
-    /// The proposal was approved before.
-    #[error("proposal {digest} was approved by `{operator}` before")]
-    Approved {
-        /// Digest of its text.
+    /// The proposal already has an approval.
+    #[error("proposal {digest} is already approved by `{operator}`")]
+    AlreadyApproved {
+        /// Digest of the proposal's text.
         digest: String,
-        /// Who approved it.
+        /// Operator who approved it.
         operator: Arc<str>,
     },
-    /// Another operator was faster.
+    /// Another operator put a bundle in force first.
     #[error(
-        "conflict: `{operator}` put generation {generation} in force meanwhile; look and try again"
+        "conflict: `{operator}` put generation {generation} in force first; check and try again"
     )]
     Conflict {
-        /// The operator who won.
+        /// Operator of the generation in force.
         operator: Arc<str>,
-        /// The generation that won.
+        /// Generation in force.
         generation: u64,
     },
-    /// A proposal was changed meanwhile.
-    #[error("conflict: the proposal was changed meanwhile; look and try again")]
+    /// The proposal was changed concurrently.
+    #[error("conflict: the proposal was changed concurrently; check and try again")]
     ProposalConflict,
-    /// Nothing is in force.
+    /// No bundle is in force.
     #[error("no bundle is in force")]
     NothingInForce,
-    /// There is no bundle before the present one.
-    #[error("there is no generation before {0} to go back to")]
-    NoPast(u64),
-    /// What the platform holds cannot be read.
-    #[error("{key} in the platform cannot be read: {source}")]
-    Stored {
-        /// Key in the platform.
+    /// The history has no generation before the one in force.
+    #[error("no generation before {0} to restore")]
+    NoPreviousGeneration(u64),
+    /// A record of the platform is not valid JSON of its type.
+    #[error("invalid record {key} in the platform: {source}")]
+    InvalidRecord {
+        /// Key of the record.
         key: String,
-        /// What the parser found.
+        /// Error of the parser.
         source: serde_json::Error,
     },
-    /// A value could not be written as JSON.
+    /// A value could not be serialized as JSON.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// No process knows the request.
-    #[error("no process that answers knows request {0}")]
-    NotKnown(String),
-    /// The deployment's key has characters that no header may have.
+    /// No process has decisions about the request.
+    #[error("no reachable process has decisions about request {0}")]
+    UnknownRequest(String),
+    /// The deployment's key has characters that are not allowed in a header.
     #[error("the deployment's key must be printable ASCII")]
-    Key,
+    InvalidKey,
 }
--- a/tool/src/main.rs
+++ b/tool/src/main.rs
@@ -1,9 +1,10 @@
-//! The loftcove command-line tool, for operators.
+//! The loftcove command-line tool for operators.
 //!
-//! [`bundle`] proposes, approves, rolls forward and withdraws bundles, all in
-//! the platform's service; [`report`] asks the processes for their status and
-//! explanations; [`day`] sums up a day by its logs; [`key`] makes operators' keys. Operators never touch single
-//! machines.
+//! - [`bundle`] proposes, approves, rolls forward and withdraws bundles, all in the store of the
+//!   platform. Operators never change single machines.
+//! - [`report`] requests the status of the processes, and their decisions about a request.
+//! - [`day`] summarizes a day from its logs.
+//! - [`key`] creates the keys of operators.
 
 mod bundle;
 mod day;
@@ -20,47 +21,47 @@
 use loftcove_settings::file;
 
 const HELP: &str = "\
-loftcove, the operators' tool
+loftcove, the command-line tool for operators
 
 usage:
   loftcove [--settings FILE] [--json] COMMAND
 
 commands:
-  bundle check FILE            check a bundle's text
-  bundle propose FILE          put it forward; prints its digest
-  bundle approve DIGEST        agree to another operator's proposal
+  bundle check FILE            check the text of a bundle
+  bundle propose FILE          propose a bundle; prints its digest
+  bundle approve DIGEST        approve the proposal of another operator
   bundle roll-forward DIGEST   put an approved bundle in force
-  bundle withdraw              put the bundle before the present one in force again
-  bundle status                what is in force, and what is proposed
-  bundle history               what was in force
-  bundle diff FILE FILE        what two texts state differently
-  status                       all processes, as they see themselves
-  explain REQUEST-ID           the decisions about a request
-  explain-day [--svg FILE] LOG...   sum up a day by the logs of its hosts
-  key new FILE                 make an operator's secret key; prints the public one
+  bundle withdraw              put the previous bundle in force again
+  bundle status                print the bundle in force and the proposals
+  bundle history               print all bundles that were in force
+  bundle diff FILE FILE        print the differences between two bundles
+  status                       print the status of all processes
+  explain REQUEST-ID           print the decisions about a request
+  explain-day [--svg FILE] LOG...   summarize a day from the logs of its hosts
+  key new FILE                 create an operator's secret key; prints the public key
 
-The settings default to loftcove.toml.
+The settings file defaults to loftcove.toml.
 ";
 
-/// Longest wait for the platform.
+/// Timeout of a call to the platform.
 const PLATFORM_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What a command works with.
+/// Settings and connections of a command.
 pub struct Context {
-    /// The settings.
+    /// Settings of the tool.
     pub settings: file::Tool,
-    /// The platform.
+    /// Client of the platform.
     pub platform: records::Client,
-    /// Whether to print JSON.
+    /// Whether the output is JSON.
     pub json: bool,
 }
 
 impl Context {
-    /// The operator's signing key.
+    /// Reads the operator's signing key.
     ///
     /// # Errors
     ///
-    /// Where the file cannot be read or is no key.
+    /// Returns an error if the file cannot be read or does not contain a key.
     pub fn signer(&self) -> Result<sign::Signer, error::Error> {
         let file = &self.settings.secret_file;
         let secret = std::fs::read_to_string(file)
@@ -68,11 +69,11 @@
         Ok(sign::Signer::new(&self.settings.operator, &secret)?)
     }
 
-    /// The operators' public keys.
+    /// Returns the public keys of the operators.
     ///
     /// # Errors
     ///
-    /// Where one is no key.
+    /// Returns an error if a key of the settings is invalid.
     pub fn keyring(&self) -> Result<sign::Keyring, error::Error> {
         Ok(sign::Keyring::new(&self.settings.operators)?)
     }
--- a/tool/src/report.rs
+++ b/tool/src/report.rs
@@ -1,4 +1,4 @@
-//! Asks the processes for their status and for explanations.
+//! The `status` and `explain` commands, which call the processes of the deployment.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,41 +10,45 @@
 
 use crate::{Context, error};
 
-/// Longest wait for one process.
-const TIMEOUT: Duration = Duration::from_secs(2);
+/// Timeout of the calls to one process.
+const PROCESS_TIMEOUT: Duration = Duration::from_secs(2);
 
 type Client = wire::peer_client::PeerClient<tonic::transport::Channel>;
 
+/// Connects to a process. Returns `None` if the process is unreachable.
 async fn connect(address: SocketAddr) -> Option<Client> {
     let endpoint = tonic::transport::Endpoint::from_shared(format!("http://{address}")).ok()?;
-    let channel = endpoint.connect_timeout(TIMEOUT).connect().await.ok()?;
+    let channel = endpoint.connect_timeout(PROCESS_TIMEOUT).connect().await.ok()?;
     Some(Client::new(channel).accept_compressed(CompressionEncoding::Gzip))
 }
 
-fn keyed<T>(context: &Context, message: T) -> Result<tonic::Request<T>, error::Error> {
-    let key: MetadataValue<Ascii> = context.settings.key.parse().map_err(|_| error::Error::Key)?;
+/// Returns a request that has the deployment's key in its metadata.
+fn with_key<T>(context: &Context, message: T) -> Result<tonic::Request<T>, error::Error> {
+    let key: MetadataValue<Ascii> =
+        context.settings.key.parse().map_err(|_| error::Error::InvalidKey)?;
     let mut request = tonic::Request::new(message);
     request.metadata_mut().insert(wire::KEY_ENTRY, key);
     Ok(request)
 }
 
-/// The host list: from the platform or, in its outage, from a process.
-async fn hosts(context: &Context) -> Result<hosts::Snapshot, error::Error> {
-    let fault = match context.platform.hosts(0, Duration::ZERO).await {
+/// Returns the host list of the platform or, during an outage of the platform, of a seed process.
+async fn load_hosts(context: &Context) -> Result<hosts::Snapshot, error::Error> {
+    let error = match context.platform.hosts(0, Duration::ZERO).await {
         Ok(list) => return Ok(list),
-        Err(fault) => fault,
+        Err(error) => error,
     };
     for seed in &context.settings.seeds {
         let versions = Vec::new();
-        let request = keyed(context, wire::Offer { host: "loftcove".to_owned(), versions })?;
-        if let Some(list) = hosts_of(*seed, request).await {
+        let request = with_key(context, wire::Offer { host: "loftcove".to_owned(), versions })?;
+        if let Some(list) = fetch_hosts(*seed, request).await {
             return Ok(list);
         }
     }
-    Err(fault.into())
+    Err(error.into())
 }
 
-async fn hosts_of(
+/// Returns the host list of one process, or `None` if the process does not return one.
+async fn fetch_hosts(
     seed: SocketAddr,
     request: tonic::Request<wire::Offer>,
 ) -> Option<hosts::Snapshot> {
@@ -54,23 +58,24 @@
     serde_json::from_slice(&record.value).ok()
 }
 
-async fn snapshot(
+/// Returns the status of one process, or `None` if it does not answer in time.
+async fn fetch_status(
     context: &Context,
     host: &hosts::Host,
 ) -> Result<Option<serde_json::Value>, error::Error> {
-    let request = keyed(context, wire::Ask {})?;
-    let ask = async {
+    let request = with_key(context, wire::Ask {})?;
+    let call = async {
         let mut client = connect(host.address).await?;
         let answer = client.status(request).await.ok()?.into_inner();
         serde_json::from_slice(&answer.json).ok()
     };
-    Ok(tokio::time::timeout(TIMEOUT, ask).await.unwrap_or(None))
+    Ok(tokio::time::timeout(PROCESS_TIMEOUT, call).await.unwrap_or(None))
 }
 
-/// `loftcove status`.
+/// Runs `loftcove status`.
 pub async fn status(context: &Context) -> Result<(), error::Error> {
-    let list = hosts(context).await?;
-    let calls = list.hosts.iter().map(|host| snapshot(context, host));
+    let list = load_hosts(context).await?;
+    let calls = list.hosts.iter().map(|host| fetch_status(context, host));
     let answers = futures_util::future::join_all(calls).await;
     let mut all = Vec::new();
     for (host, answer) in list.hosts.iter().zip(answers) {
@@ -117,15 +122,15 @@
     }
 }
 
-/// `loftcove explain`.
+/// Runs `loftcove explain`.
 pub async fn explain(context: &Context, request: &str) -> Result<(), error::Error> {
-    let list = hosts(context).await?;
-    let calls = list.hosts.iter().map(|host| explanation(context, host, request));
+    let list = load_hosts(context).await?;
+    let calls = list.hosts.iter().map(|host| fetch_explanation(context, host, request));
     let answers = futures_util::future::join_all(calls).await;
-    let mut known = false;
+    let mut found = false;
     for (host, lines) in list.hosts.iter().zip(answers) {
         for line in lines? {
-            known = true;
+            found = true;
             if context.json {
                 println!("{}", serde_json::json!({ "host": host.id, "decision": line }));
             } else {
@@ -133,18 +138,19 @@
             }
         }
     }
-    if known { Ok(()) } else { Err(error::Error::NotKnown(request.to_owned())) }
+    if found { Ok(()) } else { Err(error::Error::UnknownRequest(request.to_owned())) }
 }
 
-async fn explanation(
+/// Returns the decisions of one process about a request; none if it does not answer in time.
+async fn fetch_explanation(
     context: &Context,
     host: &hosts::Host,
     request: &str,
 ) -> Result<Vec<String>, error::Error> {
-    let message = keyed(context, wire::Subject { request: request.to_owned() })?;
-    let ask = async {
+    let message = with_key(context, wire::Subject { request: request.to_owned() })?;
+    let call = async {
         let mut client = connect(host.address).await?;
         Some(client.explain(message).await.ok()?.into_inner().lines)
     };
-    Ok(tokio::time::timeout(TIMEOUT, ask).await.ok().flatten().unwrap_or_default())
+    Ok(tokio::time::timeout(PROCESS_TIMEOUT, call).await.ok().flatten().unwrap_or_default())
 }
