--- a/day/src/ends.rs
+++ b/day/src/ends.rs
@@ -24,7 +24,14 @@
 
 impl Suspects {
     /// A host changed what it holds of a request.
-    pub fn held(&mut self, digest: &str, server: &str, standing: &str, host: &str, at: f64) {
+    pub fn record_standing(
+        &mut self,
+        digest: &str,
+        server: &str,
+        standing: &str,
+        host: &str,
+        at: f64,
+    ) {
         let new = || Suspect { since: at, ..Suspect::default() };
         let suspect = self.0.entry(digest.to_owned()).or_insert_with(new);
         suspect.since = suspect.since.min(at);
@@ -37,7 +44,7 @@
     }
 
     /// A request was refused.
-    pub fn refused(&mut self, digest: &str) {
+    pub fn record_refusal(&mut self, digest: &str) {
         self.0.entry(digest.to_owned()).or_default().refusals += 1;
     }
 
--- a/day/src/line.rs
+++ b/day/src/line.rs
@@ -28,7 +28,7 @@
 
 impl Time {
     /// Seconds since `start`, which only counts for times of day.
-    pub fn seconds(self, start: SystemTime) -> f64 {
+    pub fn seconds_since(self, start: SystemTime) -> f64 {
         match self {
             Time::Seconds(seconds) => seconds,
             Time::Wall(at) => match at.duration_since(start) {
@@ -41,7 +41,7 @@
 
 impl<'a> Line<'a> {
     /// Splits a line; `None` where it is none of ours.
-    pub fn read(line: &'a str) -> Option<Line<'a>> {
+    pub fn parse(line: &'a str) -> Option<Line<'a>> {
         let line = line.trim();
         let (head, rest) = line.split_once(' ')?;
         if let Ok(at) = humantime::parse_rfc3339(head) {
--- a/day/src/outage.rs
+++ b/day/src/outage.rs
@@ -22,7 +22,7 @@
     /// When the first and the last of them believed it up again, if they did.
     pub up: Option<(f64, f64)>,
     /// Hosts that did not.
-    pub left: usize,
+    pub still_down: usize,
 }
 
 /// Outages that are being put together, in the order of their beginning.
@@ -47,20 +47,20 @@
             hosts: 0,
             grounds: BTreeMap::new(),
             up: None,
-            left: 0,
+            still_down: 0,
         };
         Open { outage, down: BTreeSet::new() }
     }
 
     fn end(mut self) -> Outage {
-        self.outage.left = self.down.len();
+        self.outage.still_down = self.down.len();
         self.outage
     }
 }
 
 impl Outages {
     /// A host believes a group down.
-    pub fn down(&mut self, group: &str, host: &str, ground: &str, at: f64) {
+    pub fn record_down(&mut self, group: &str, host: &str, ground: &str, at: f64) {
         let before = self.open.get(group);
         let ended = before.is_some_and(|open| {
             let last = open.outage.up.map_or(open.outage.down.1, |(_, last)| last);
@@ -78,7 +78,7 @@
     }
 
     /// A host believes a group up again.
-    pub fn up(&mut self, group: &str, host: &str, at: f64) {
+    pub fn record_up(&mut self, group: &str, host: &str, at: f64) {
         let Some(open) = self.open.get_mut(group) else { return };
         if !open.down.remove(host) {
             return;
@@ -88,7 +88,7 @@
     }
 
     /// A host's process starts: it has no beliefs.
-    pub fn forget(&mut self, host: &str) {
+    pub fn record_start(&mut self, host: &str) {
         for open in self.open.values_mut() {
             open.down.remove(host);
         }
--- a/day/src/plot.rs
+++ b/day/src/plot.rs
@@ -68,7 +68,7 @@
     for ((second, _), row) in &day.rows {
         let counts = seconds.entry(*second).or_default();
         for (place, (outcome, _)) in LINES.iter().enumerate() {
-            counts[place] += row.of(outcome);
+            counts[place] += row.count_of(outcome);
         }
     }
     seconds
--- a/day/src/summary.rs
+++ b/day/src/summary.rs
@@ -29,7 +29,7 @@
 
 impl Row {
     /// Adds another row.
-    pub fn add(&mut self, other: &Row) {
+    pub fn merge(&mut self, other: &Row) {
         for (name, count) in &other.outcomes {
             *self.outcomes.entry(name.clone()).or_default() += count;
         }
@@ -42,7 +42,7 @@
     }
 
     /// Final answers with that outcome.
-    pub fn of(&self, outcome: &str) -> u64 {
+    pub fn count_of(&self, outcome: &str) -> u64 {
         let own = |name: &&String| name.split('/').next() == Some(outcome);
         let names = self.outcomes.keys().filter(own);
         names.map(|name| self.outcomes[name]).sum()
@@ -74,9 +74,9 @@
     pub outages: Vec<Outage>,
     /// Requests that were refused since servers ended under them, by their
     /// digest, and how many others were suspects.
-    pub ended: (Vec<(String, Suspect)>, u64),
+    pub suspects: (Vec<(String, Suspect)>, u64),
     /// Backend servers that asked for rest or said that they leave.
-    pub said: rest::Servers,
+    pub rests: rest::Servers,
     /// Drivers that began, ended or were deposed.
     pub drivers: Vec<Event>,
     /// Changes of expert maps that were decided.
@@ -86,7 +86,7 @@
     /// Lines that were read.
     pub lines: u64,
     /// Lines that were not understood.
-    pub strange: u64,
+    pub unparsed: u64,
 }
 
 /// A day that is being read.
@@ -101,16 +101,16 @@
 
 impl Reader {
     /// Takes a line of a log; `host` is whose log it is, where lines do not tell.
-    pub fn take(&mut self, line: &str, host: &str) {
+    pub fn push_line(&mut self, line: &str, host: &str) {
         self.day.lines += 1;
-        let Some(line) = Line::read(line) else {
-            self.day.strange += u64::from(!line.trim().is_empty());
+        let Some(line) = Line::parse(line) else {
+            self.day.unparsed += u64::from(!line.trim().is_empty());
             return;
         };
         if let Time::Wall(at) = line.at {
             self.start.get_or_insert(at);
         }
-        let at = line.at.seconds(self.start.unwrap_or(SystemTime::UNIX_EPOCH));
+        let at = line.at.seconds_since(self.start.unwrap_or(SystemTime::UNIX_EPOCH));
         let host = line.host.unwrap_or(host);
         self.take_known(&line, host, at);
     }
@@ -118,7 +118,7 @@
     /// The day as it was read.
     pub fn finish(mut self) -> Day {
         self.day.outages = self.outages.finish();
-        self.day.ended = self.suspects.finish();
+        self.day.suspects = self.suspects.finish();
         self.day
     }
 
@@ -136,20 +136,20 @@
             *self.row(host, at).failed.entry(cause).or_default() += 1;
         } else if text.starts_with("group down ") {
             let ground = line.field("ground").unwrap_or("?");
-            self.outages.down(line.field("group").unwrap_or("?"), host, ground, at);
+            self.outages.record_down(line.field("group").unwrap_or("?"), host, ground, at);
         } else if text.starts_with("group up ") {
-            self.outages.up(line.field("group").unwrap_or("?"), host, at);
+            self.outages.record_up(line.field("group").unwrap_or("?"), host, at);
         } else if text.starts_with("server ended digest=") {
             let field = |name| line.field(name).unwrap_or("?");
             let (digest, server) = (field("digest"), field("server"));
-            self.suspects.held(digest, server, field("standing"), host, at);
+            self.suspects.record_standing(digest, server, field("standing"), host, at);
         } else if text.starts_with("request ends servers ") {
-            self.suspects.refused(line.field("digest").unwrap_or("?"));
+            self.suspects.record_refusal(line.field("digest").unwrap_or("?"));
         } else if text.starts_with("server rests ") {
             let ms = line.millis("ms").map_or(0, |time| time.as_millis() as u64);
-            self.said(line).rests(host, ms, at);
+            self.said(line).record_rest(host, ms, at);
         } else if text.starts_with("server leaves ") {
-            self.said(line).leaves(at);
+            self.said(line).record_leave(at);
         } else if text.starts_with("driver ") {
             let event = Event { at, host: host.to_owned(), text: text.to_owned() };
             self.day.drivers.push(event);
@@ -159,16 +159,16 @@
             let name = line.field("name").unwrap_or("?").to_owned();
             *self.day.lost.entry(name).or_default() += 1;
         } else if text.starts_with("started host=") {
-            self.outages.forget(host);
+            self.outages.record_start(host);
             if let Some(zone) = line.field("zone") {
                 self.zones.insert(host.to_owned(), zone.to_owned());
             }
         }
     }
 
-    fn said(&mut self, line: &Line<'_>) -> &mut rest::Said {
+    fn said(&mut self, line: &Line<'_>) -> &mut rest::Record {
         let server = line.field("server").unwrap_or("?").to_owned();
-        self.day.said.entry(server).or_default()
+        self.day.rests.entry(server).or_default()
     }
 
     fn outcome(&mut self, line: &Line<'_>, host: &str, at: f64) {
--- a/day/src/text.rs
+++ b/day/src/text.rs
@@ -14,7 +14,7 @@
 impl fmt::Display for Text<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let day = self.0;
-        writeln!(f, "{} lines, {} not understood", day.lines, day.strange)?;
+        writeln!(f, "{} lines, {} not understood", day.lines, day.unparsed)?;
         seconds(f, day)?;
         reasons(f, day)?;
         outages(f, day)?;
@@ -45,10 +45,10 @@
         writeln!(
             f,
             "{second:>6} {zone:<16} {:>8} {:>8} {:>8} {:>8} {:>8} {:>9} {:>9}  {}",
-            row.of("answered"),
-            row.of("not-run") + row.of("refused"),
-            row.of("unknown"),
-            row.of("broken-off"),
+            row.count_of("answered"),
+            row.count_of("not-run") + row.count_of("refused"),
+            row.count_of("unknown"),
+            row.count_of("broken-off"),
             row.attempts,
             ms(&row.first_ms, 0.5),
             ms(&row.pause_ms, 0.9),
@@ -67,7 +67,7 @@
 
 fn reasons(f: &mut fmt::Formatter<'_>, day: &Day) -> fmt::Result {
     let mut all = Row::default();
-    day.rows.values().for_each(|row| all.add(row));
+    day.rows.values().for_each(|row| all.merge(row));
     table(f, "final answers", &all.outcomes)?;
     table(f, "attempts that failed", &all.failed)?;
     table(f, "dependencies lost", &day.lost)
@@ -97,14 +97,14 @@
             outage.down.1,
             outage.hosts,
             grounds.join(", "),
-            outage.left
+            outage.still_down
         )?;
     }
     Ok(())
 }
 
 fn ended(f: &mut fmt::Formatter<'_>, day: &Day) -> fmt::Result {
-    let (refused, others) = &day.ended;
+    let (refused, others) = &day.suspects;
     writeln!(f, "\nrequests that ended servers; {others} others were on servers that ended")?;
     for (digest, suspect) in refused {
         let servers: Vec<&str> = suspect.servers.iter().map(String::as_str).collect();
@@ -126,20 +126,20 @@
 }
 
 fn said(f: &mut fmt::Formatter<'_>, day: &Day) -> fmt::Result {
-    if day.said.is_empty() {
+    if day.rests.is_empty() {
         return Ok(());
     }
     writeln!(f, "\nservers that asked for rest or leave")?;
-    for (server, said) in &day.said {
+    for (server, said) in &day.rests {
         write!(f, "  {server}:")?;
         if let Some((first, last)) = said.asked {
-            let (rests, hosts, ms) = (said.rests, said.hosts.len(), said.longest_ms);
+            let (rests, hosts, ms) = (said.rests, said.hosts.len(), said.max_ms);
             write!(
                 f,
                 " {rests} rests from {first:.2} to {last:.2} at {hosts} hosts, {ms} ms at the most"
             )?;
         }
-        if let Some(at) = said.leaves {
+        if let Some(at) = said.leaves_at {
             write!(f, " leaves from {at:.2}")?;
         }
         writeln!(f)?;
--- a/day/tests/day.rs
+++ b/day/tests/day.rs
@@ -10,7 +10,7 @@
 
 fn day(log: &str, host: &str) -> Day {
     let mut reader = Reader::default();
-    log.lines().for_each(|line| reader.take(line, host));
+    log.lines().for_each(|line| reader.push_line(line, host));
     reader.finish()
 }
 
@@ -20,17 +20,20 @@
     assert_eq!(day.outages.len(), 2);
     let outage = &day.outages[0];
     assert_eq!((outage.down, outage.up), ((35.1, 36.6), Some((40.1, 40.3))));
-    assert_eq!((outage.hosts, outage.left), (2, 0));
+    assert_eq!((outage.hosts, outage.still_down), (2, 0));
     assert_eq!(outage.grounds["refused"] + outage.grounds["told"], 2);
     // The next one is another outage, and nobody saw its end.
-    assert_eq!((day.outages[1].down.0, day.outages[1].up, day.outages[1].left), (60.0, None, 1));
+    assert_eq!(
+        (day.outages[1].down.0, day.outages[1].up, day.outages[1].still_down),
+        (60.0, None, 1)
+    );
 }
 
 #[test]
 fn requests_are_counted_by_second_zone_and_reason() {
     let day = day(LOG, "");
     let row = &day.rows[&(33, "norte".to_owned())];
-    assert_eq!((row.of("answered"), row.attempts), (2, 1));
+    assert_eq!((row.count_of("answered"), row.attempts), (2, 1));
     assert_eq!((row.first_ms.clone(), row.pause_ms.clone()), (vec![170, 190], vec![65, 129]));
     let row = &day.rows[&(35, "norte".to_owned())];
     assert_eq!((row.outcomes["not-run/group-down"], row.failed["group down"]), (1, 1));
@@ -40,10 +43,10 @@
 
 #[test]
 fn lines_that_ran_into_one_another_are_counted_and_left_out() {
-    assert_eq!(day(LOG, "").strange, 1);
+    assert_eq!(day(LOG, "").unparsed, 1);
     let noise = "\u{0}\u{1}\nnot a line\n12.5 host\n12.5 host 2026-13-01 [INFO] a: b\n\n";
     let day = day(noise, "host");
-    assert_eq!((day.lines, day.strange), (5, 4));
+    assert_eq!((day.lines, day.unparsed), (5, 4));
     assert!(day.rows.is_empty());
 }
 
@@ -52,13 +55,13 @@
     let log = "2026-06-06T10:33:59.000Z [INFO] loftcove_gateway: started host=a zone=norte clients=x\n\
         2026-06-06T10:34:01.500Z [INFO] loftcove_gateway::flow: outcome request=q outcome=unknown reason=deadline ms=8000\n";
     let day = day(log, "edge-1");
-    assert_eq!(day.rows[&(2, "norte".to_owned())].of("unknown"), 1);
+    assert_eq!(day.rows[&(2, "norte".to_owned())].count_of("unknown"), 1);
 }
 
 #[test]
 fn fields_are_found_by_their_whole_name() {
     let text = "1.0 h 2026-06-06T10:33:59Z [INFO] m: a hold_ms=5 ms=7 cause=\"two words\" x=";
-    let line = Line::read(text).unwrap();
+    let line = Line::parse(text).unwrap();
     assert_eq!((line.field("ms"), line.field("cause")), (Some("7"), Some("two words")));
     assert_eq!((line.field("x"), line.field("y")), (Some(""), None));
 }
@@ -98,7 +101,7 @@
 #[test]
 fn a_request_that_ended_servers_is_shown_with_its_servers() {
     let day = day(ENDS, "");
-    let (refused, others) = &day.ended;
+    let (refused, others) = &day.suspects;
     assert_eq!((refused.len(), *others), (1, 1));
     let (digest, suspect) = &refused[0];
     assert_eq!((&**digest, suspect.since, suspect.refused), ("aa", 1.0, Some((3.0, 3.2))));
--- a/tool/src/day.rs
+++ b/tool/src/day.rs
@@ -49,7 +49,7 @@
     let mut lines = BufReader::new(bar.wrap_read(file));
     let mut line = Vec::new();
     while read_line(&mut lines, &mut line).map_err(file_error)? {
-        reader.take(&String::from_utf8_lossy(&line), &host);
+        reader.push_line(&String::from_utf8_lossy(&line), &host);
     }
     bar.finish_and_clear();
     Ok(())
