--- a/day/src/ends.rs
+++ b/day/src/ends.rs
@@ -1,29 +1,32 @@
-//! Requests that were on backend servers that ended, put together from what all
-//! hosts held of them.
+//! Requests that were on backend servers that ended, combined from the logs of all hosts.
+//!
+//! The *end* of a server is the unplanned exit of one run of its process. Each request that was on
+//! the server is a suspect. The *standing* of a suspect at a host is `refused` once the host
+//! rejects the request because servers ended under it.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A request, by its digest.
+/// A request that was on a backend server that ended.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Suspect {
-    /// Backend servers that ended while it was there.
+    /// Backend servers that ended while the request was on them.
     pub servers: BTreeSet<String>,
-    /// When the first host held it suspect, seconds.
+    /// Time at which the first host logged it as a suspect, in seconds.
     pub since: f64,
-    /// When the first and the last host began to refuse it, if they did.
+    /// Times at which the first and the last host began to reject it, in seconds, if any did.
     pub refused: Option<(f64, f64)>,
-    /// Hosts that did.
+    /// Hosts that began to reject it.
     pub hosts: BTreeSet<String>,
-    /// Times that it was refused for it.
+    /// Number of times that it was rejected.
     pub refusals: u64,
 }
 
-/// All of them, by digest.
+/// Suspects by the digest of their request.
 #[derive(Debug, Default)]
 pub struct Suspects(BTreeMap<String, Suspect>);
 
 impl Suspects {
-    /// A host changed what it holds of a request.
+    /// Records that a host changed the standing of a request because a server ended.
     pub fn record_standing(
         &mut self,
         digest: &str,
@@ -43,16 +46,17 @@
         suspect.refused = Some((first.min(at), last.max(at)));
     }
 
-    /// A request was refused.
+    /// Records that a host rejected a request.
     pub fn record_refusal(&mut self, digest: &str) {
         self.0.entry(digest.to_owned()).or_default().refusals += 1;
     }
 
-    /// Those that were refused, by when they first were, and the number of others.
+    /// Returns the suspects that were rejected, by the time at which they became suspects, and the
+    /// number of the others.
     pub fn finish(self) -> (Vec<(String, Suspect)>, u64) {
-        let of = |suspect: &Suspect| suspect.refused.is_some() || suspect.refusals > 0;
+        let was_refused = |suspect: &Suspect| suspect.refused.is_some() || suspect.refusals > 0;
         let (mut refused, others): (Vec<_>, Vec<_>) =
-            self.0.into_iter().partition(|(_, suspect)| of(suspect));
+            self.0.into_iter().partition(|(_, suspect)| was_refused(suspect));
         refused.sort_by(|a, b| a.1.since.total_cmp(&b.1.since));
         (refused, others.len() as u64)
     }
--- a/day/src/lib.rs
+++ b/day/src/lib.rs
@@ -1,13 +1,14 @@
-//! Sums up a day by the structured logs of gateways and sidecars.
+//! Summarizes a day from the structured logs of gateways and sidecars.
 //!
-//! [`line`] splits a line into its time, host and fields; [`summary`] counts
-//! what became of requests, by second and availability zone; [`outage`] puts
-//! together what each host believed of a group, [`ends`] what it held of requests
-//! under which servers ended, [`rest`] what servers said of their own near
-//! future; [`text`] and [`plot`] show it.
-//! Lines are taken one after the other, so that logs of any size can be read;
-//! lines that are not understood, as those that two hosts wrote into one
-//! another, are counted and left out.
+//! - [`line`] parses a line into its time, host and fields.
+//! - [`summary`] counts the outcomes of requests by second and availability zone.
+//! - [`outage`] combines the lines of all hosts about outages of a group.
+//! - [`ends`] combines their lines about requests that were on backend servers that ended.
+//! - [`rest`] combines their lines about backend servers that requested rest or are leaving.
+//! - [`text`] and [`plot`] print the result.
+//!
+//! Lines are read one at a time, so that logs of any size can be read. Lines that cannot be parsed
+//! are counted and skipped, for example those that two hosts wrote into one another.
 
 pub mod ends;
 pub mod line;
--- a/day/src/outage.rs
+++ b/day/src/outage.rs
@@ -1,46 +1,52 @@
-//! What hosts believed of a group, put together: when an outage was first
-//! noticed, when the last host had noticed it, and the same of its end.
+//! Outages of groups, combined from the logs of all hosts.
+//!
+//! A host logs `group down` when it starts to treat a group as unavailable, with the ground for it,
+//! and `group up` when it treats the group as available again. An outage has the times of the first
+//! and the last host that logged each of them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Time between two hosts' beliefs from which these are of two outages, seconds:
-/// hosts hear of a break within two seconds of each other, as entries are written
-/// each second or so.
-const APART: f64 = 3.0;
+/// Minimum time between the end of an outage and the start of the next one of the group, in
+/// seconds. A `group down` line that follows sooner belongs to the same outage. Hosts receive the
+/// report of a break within two seconds of each other, because entries are written about once a
+/// second.
+const MIN_GAP_S: f64 = 3.0;
 
 /// An outage of a group.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Outage {
-    /// The group.
+    /// Name of the group.
     pub group: String,
-    /// When the first and the last host believed it down, seconds.
+    /// Times at which the first and the last host logged it as down, in seconds.
     pub down: (f64, f64),
-    /// Hosts that believed it down.
+    /// Number of hosts that logged it as down.
     pub hosts: usize,
-    /// Grounds, with the number of hosts that had each.
+    /// Number of `group down` lines by ground.
     pub grounds: BTreeMap<String, usize>,
-    /// When the first and the last of them believed it up again, if they did.
+    /// Times at which the first and the last of them logged it as up again, in seconds, if any did.
     pub up: Option<(f64, f64)>,
-    /// Hosts that did not.
+    /// Number of hosts that did not log it as up again.
     pub still_down: usize,
 }
 
-/// Outages that are being put together, in the order of their beginning.
+/// Outages of the lines that were read so far.
 #[derive(Debug, Default)]
 pub struct Outages {
-    open: BTreeMap<String, Open>,
-    over: Vec<Outage>,
+    /// Current or last outage of each group.
+    open: BTreeMap<String, Pending>,
+    /// Earlier outages.
+    closed: Vec<Outage>,
 }
 
 #[derive(Debug)]
-struct Open {
+struct Pending {
     outage: Outage,
-    /// Hosts that believe the group down.
+    /// Hosts that treat the group as unavailable.
     down: BTreeSet<String>,
 }
 
-impl Open {
-    fn new(group: &str, at: f64) -> Open {
+impl Pending {
+    fn new(group: &str, at: f64) -> Pending {
         let outage = Outage {
             group: group.to_owned(),
             down: (at, at),
@@ -49,27 +55,27 @@
             up: None,
             still_down: 0,
         };
-        Open { outage, down: BTreeSet::new() }
+        Pending { outage, down: BTreeSet::new() }
     }
 
-    fn end(mut self) -> Outage {
+    fn close(mut self) -> Outage {
         self.outage.still_down = self.down.len();
         self.outage
     }
 }
 
 impl Outages {
-    /// A host believes a group down.
+    /// Records that a host logged a group as down.
     pub fn record_down(&mut self, group: &str, host: &str, ground: &str, at: f64) {
-        let before = self.open.get(group);
-        let ended = before.is_some_and(|open| {
+        let previous = self.open.get(group);
+        let is_over = previous.is_some_and(|open| {
             let last = open.outage.up.map_or(open.outage.down.1, |(_, last)| last);
-            open.down.is_empty() && at - last > APART
+            open.down.is_empty() && at - last > MIN_GAP_S
         });
-        if ended && let Some(open) = self.open.remove(group) {
-            self.over.push(open.end());
+        if is_over && let Some(open) = self.open.remove(group) {
+            self.closed.push(open.close());
         }
-        let open = self.open.entry(group.to_owned()).or_insert_with(|| Open::new(group, at));
+        let open = self.open.entry(group.to_owned()).or_insert_with(|| Pending::new(group, at));
         open.outage.down.1 = open.outage.down.1.max(at);
         if open.down.insert(host.to_owned()) {
             open.outage.hosts += 1;
@@ -77,7 +83,7 @@
         *open.outage.grounds.entry(ground.to_owned()).or_default() += 1;
     }
 
-    /// A host believes a group up again.
+    /// Records that a host logged a group as up again.
     pub fn record_up(&mut self, group: &str, host: &str, at: f64) {
         let Some(open) = self.open.get_mut(group) else { return };
         if !open.down.remove(host) {
@@ -87,17 +93,17 @@
         open.outage.up = Some((first.min(at), last.max(at)));
     }
 
-    /// A host's process starts: it has no beliefs.
+    /// Records that the process of a host started. A new process treats every group as available.
     pub fn record_start(&mut self, host: &str) {
         for open in self.open.values_mut() {
             open.down.remove(host);
         }
     }
 
-    /// All outages, by their beginning.
+    /// Returns all outages in the order of their start.
     pub fn finish(self) -> Vec<Outage> {
-        let mut all = self.over;
-        all.extend(self.open.into_values().map(Open::end));
+        let mut all = self.closed;
+        all.extend(self.open.into_values().map(Pending::close));
         all.sort_by(|a, b| a.down.0.total_cmp(&b.down.0));
         all
     }
--- a/day/src/rest.rs
+++ b/day/src/rest.rs
@@ -1,25 +1,27 @@
-//! Backend servers that asked for rest or said that they leave, put together
-//! from what all hosts were told.
+//! Backend servers that requested rest or announced that they are leaving, combined from the logs
+//! of all hosts.
+//!
+//! A *rest* is a time for which a backend server asks a host to send it no requests.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a backend server said.
+/// Rests and leave of one backend server.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Record {
-    /// Rests that it asked hosts for.
+    /// Number of rests that it requested.
     pub rests: u64,
-    /// Hosts that it asked.
+    /// Hosts from which it requested rest.
     pub hosts: BTreeSet<String>,
-    /// When the first one was asked and the last one's rest began, seconds.
+    /// Times of the first and the last request for rest, in seconds.
     pub asked: Option<(f64, f64)>,
-    /// Longest time for which a host sent it nothing, milliseconds.
+    /// Longest time for which a host sent it no requests, in milliseconds.
     pub max_ms: u64,
-    /// When it first said that it leaves, seconds.
+    /// Time at which it first announced that it is leaving, in seconds.
     pub leaves_at: Option<f64>,
 }
 
 impl Record {
-    /// It asked a host for rest, which sends it nothing for that time.
+    /// Records that it requested rest from a host, which then sends it no requests for `ms`.
     pub fn record_rest(&mut self, host: &str, ms: u64, at: f64) {
         let (first, last) = self.asked.unwrap_or((at, at));
         self.asked = Some((first.min(at), last.max(at)));
@@ -28,11 +30,11 @@
         self.max_ms = self.max_ms.max(ms);
     }
 
-    /// It said that it leaves.
+    /// Records that it announced that it is leaving.
     pub fn record_leave(&mut self, at: f64) {
         self.leaves_at = Some(self.leaves_at.map_or(at, |first| first.min(at)));
     }
 }
 
-/// All of them, by id.
+/// Records of all backend servers, by id.
 pub type Servers = BTreeMap<String, Record>;
--- a/day/src/summary.rs
+++ b/day/src/summary.rs
@@ -1,4 +1,4 @@
-//! What became of requests, by second and availability zone.
+//! Counts the outcomes of requests by second and availability zone.
 
 use std::collections::BTreeMap;
 use std::time::SystemTime;
@@ -8,27 +8,27 @@
 use crate::outage::{Outage, Outages};
 use crate::rest;
 
-/// Zone of hosts of which nothing tells their own.
+/// Zone of hosts whose zone is not in the logs.
 const UNKNOWN_ZONE: &str = "?";
 
 /// Requests of one second and zone.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Row {
-    /// Final answers by `outcome/reason`; answers that a backend server gave are
-    /// `answered/STATUS`, whole streams `answered/whole`.
+    /// Final answers by `outcome/reason`. Answers of a backend server are `answered/STATUS`, and
+    /// complete streams are `answered/whole`.
     pub outcomes: BTreeMap<String, u64>,
-    /// Attempts that were sent.
+    /// Number of attempts that were sent.
     pub attempts: u64,
-    /// Attempts that failed, by cause.
+    /// Number of failed attempts by cause.
     pub failed: BTreeMap<String, u64>,
-    /// Time to the first event of each whole stream, milliseconds.
+    /// Time to the first event of each complete stream, in milliseconds.
     pub first_ms: Vec<u64>,
-    /// Longest pause of each whole stream, milliseconds.
+    /// Longest pause of each complete stream, in milliseconds.
     pub pause_ms: Vec<u64>,
 }
 
 impl Row {
-    /// Adds another row.
+    /// Adds the counts and times of another row.
     pub fn merge(&mut self, other: &Row) {
         for (name, count) in &other.outcomes {
             *self.outcomes.entry(name.clone()).or_default() += count;
@@ -41,66 +41,67 @@
         self.pause_ms.extend(&other.pause_ms);
     }
 
-    /// Final answers with that outcome.
+    /// Returns the number of final answers with an outcome.
     pub fn count_of(&self, outcome: &str) -> u64 {
-        let own = |name: &&String| name.split('/').next() == Some(outcome);
-        let names = self.outcomes.keys().filter(own);
+        let has_outcome = |name: &&String| name.split('/').next() == Some(outcome);
+        let names = self.outcomes.keys().filter(has_outcome);
         names.map(|name| self.outcomes[name]).sum()
     }
 
-    /// All final answers.
+    /// Returns the number of all final answers.
     pub fn total(&self) -> u64 {
         self.outcomes.values().sum()
     }
 }
 
-/// A line that is shown as it is, of a driver or a dependency.
+/// A line of a driver, which is printed unchanged.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Event {
-    /// When, seconds.
+    /// Time of the line, in seconds.
     pub at: f64,
-    /// Who wrote it.
+    /// Host that wrote it.
     pub host: String,
-    /// What it says.
+    /// Message of the line.
     pub text: String,
 }
 
-/// A day.
+/// Summary of a day.
 #[derive(Debug, Default, PartialEq)]
 pub struct Day {
     /// Requests by second and zone.
     pub rows: BTreeMap<(i64, String), Row>,
     /// Outages of groups.
     pub outages: Vec<Outage>,
-    /// Requests that were refused since servers ended under them, by their
-    /// digest, and how many others were suspects.
+    /// Requests that were rejected because servers ended under them, by their digest, and the
+    /// number of other suspects.
     pub suspects: (Vec<(String, Suspect)>, u64),
-    /// Backend servers that asked for rest or said that they leave.
+    /// Backend servers that requested rest or announced that they are leaving.
     pub rests: rest::Servers,
-    /// Drivers that began, ended or were deposed.
+    /// Lines about drivers, such as that one was elected or deposed.
     pub drivers: Vec<Event>,
-    /// Changes of expert maps that were decided.
+    /// Number of changes of expert maps that were decided.
     pub changes: u64,
-    /// Dependencies that were lost, by name.
+    /// Number of losses of each dependency, by name.
     pub lost: BTreeMap<String, u64>,
-    /// Lines that were read.
+    /// Number of lines that were read.
     pub lines: u64,
-    /// Lines that were not understood.
+    /// Number of lines that could not be parsed.
     pub unparsed: u64,
 }
 
-/// A day that is being read.
+/// Builds the summary of a day from the lines of its logs.
 #[derive(Debug, Default)]
 pub struct Reader {
     day: Day,
     zones: BTreeMap<String, String>,
     outages: Outages,
     suspects: Suspects,
+    /// Time of day of the first line, from which seconds are counted.
     start: Option<SystemTime>,
 }
 
 impl Reader {
-    /// Takes a line of a log; `host` is whose log it is, where lines do not tell.
+    /// Reads a line of a log. `host` is the host of the log; it is used if the line names no host.
     pub fn push_line(&mut self, line: &str, host: &str) {
         self.day.lines += 1;
         let Some(line) = Line::parse(line) else {
@@ -112,17 +113,18 @@
         }
         let at = line.at.seconds_since(self.start.unwrap_or(SystemTime::UNIX_EPOCH));
         let host = line.host.unwrap_or(host);
-        self.take_known(&line, host, at);
+        self.apply(&line, host, at);
     }
 
-    /// The day as it was read.
+    /// Returns the summary of the lines that were read.
     pub fn finish(mut self) -> Day {
         self.day.outages = self.outages.finish();
         self.day.suspects = self.suspects.finish();
         self.day
     }
 
-    fn take_known(&mut self, line: &Line<'_>, host: &str, at: f64) {
+    /// Applies a parsed line to the summary.
+    fn apply(&mut self, line: &Line<'_>, host: &str, at: f64) {
         let text = line.text;
         if text.starts_with("outcome request=") {
             self.outcome(line, host, at);
@@ -147,9 +149,9 @@
             self.suspects.record_refusal(line.field("digest").unwrap_or("?"));
         } else if text.starts_with("server rests ") {
             let ms = line.millis("ms").map_or(0, |time| time.as_millis() as u64);
-            self.said(line).record_rest(host, ms, at);
+            self.server(line).record_rest(host, ms, at);
         } else if text.starts_with("server leaves ") {
-            self.said(line).record_leave(at);
+            self.server(line).record_leave(at);
         } else if text.starts_with("driver ") {
             let event = Event { at, host: host.to_owned(), text: text.to_owned() };
             self.day.drivers.push(event);
@@ -166,11 +168,13 @@
         }
     }
 
-    fn said(&mut self, line: &Line<'_>) -> &mut rest::Record {
+    /// Returns the record of the backend server that a line names.
+    fn server(&mut self, line: &Line<'_>) -> &mut rest::Record {
         let server = line.field("server").unwrap_or("?").to_owned();
         self.day.rests.entry(server).or_default()
     }
 
+    /// Counts the final answer of a request.
     fn outcome(&mut self, line: &Line<'_>, host: &str, at: f64) {
         let outcome = line.field("outcome").unwrap_or("?");
         let reason = line.field("reason").unwrap_or("?");
@@ -195,7 +199,8 @@
     }
 }
 
-/// The value that a part of the values does not exceed; none of no values.
+/// Returns the value at a quantile, where `part` is between 0 and 1, or `None` if there are no
+/// values.
 pub fn quantile(values: &[u64], part: f64) -> Option<u64> {
     let mut sorted = values.to_vec();
     sorted.sort_unstable();
--- a/day/src/text.rs
+++ b/day/src/text.rs
@@ -1,25 +1,25 @@
-//! A day as text.
+//! Prints a day as text.
 
 use std::collections::BTreeMap;
 use std::fmt;
 
 use crate::summary::{Day, Row, quantile};
 
-/// Shows a day: by second and zone, by reason, outages, drivers.
+/// Displays a day: counts by second and zone and by reason, outages, suspects, rests and drivers.
 pub struct Text<'a>(pub &'a Day);
 
-/// Drivers' lines that are shown.
-const MOST_DRIVERS: usize = 40;
+/// Maximum number of drivers' lines that are printed.
+const MAX_DRIVERS: usize = 40;
 
 impl fmt::Display for Text<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let day = self.0;
-        writeln!(f, "{} lines, {} not understood", day.lines, day.unparsed)?;
+        writeln!(f, "{} lines, {} not parsed", day.lines, day.unparsed)?;
         seconds(f, day)?;
         reasons(f, day)?;
         outages(f, day)?;
-        ended(f, day)?;
-        said(f, day)?;
+        suspects(f, day)?;
+        rests(f, day)?;
         drivers(f, day)
     }
 }
@@ -27,7 +27,7 @@
 fn seconds(f: &mut fmt::Formatter<'_>, day: &Day) -> fmt::Result {
     writeln!(
         f,
-        "\n{:>6} {:<16} {:>8} {:>8} {:>8} {:>8} {:>8} {:>9} {:>9}  most refused for",
+        "\n{:>6} {:<16} {:>8} {:>8} {:>8} {:>8} {:>8} {:>9} {:>9}  top refusal",
         "second",
         "zone",
         "answered",
@@ -52,25 +52,25 @@
             row.attempts,
             ms(&row.first_ms, 0.5),
             ms(&row.pause_ms, 0.9),
-            most_refused(row)
+            top_refusal(row)
         )?;
     }
     Ok(())
 }
 
-/// The commonest reason of a second's refusals, with its number.
-fn most_refused(row: &Row) -> String {
+/// Returns the most frequent reason of refusals in a row, with its count.
+fn top_refusal(row: &Row) -> String {
     let refused = row.outcomes.iter().filter(|(name, _)| !name.starts_with("answered/"));
-    let most = refused.max_by_key(|(_, count)| **count);
-    most.map_or_else(String::new, |(name, count)| format!("{name} {count}"))
+    let top = refused.max_by_key(|(_, count)| **count);
+    top.map_or_else(String::new, |(name, count)| format!("{name} {count}"))
 }
 
 fn reasons(f: &mut fmt::Formatter<'_>, day: &Day) -> fmt::Result {
     let mut all = Row::default();
     day.rows.values().for_each(|row| all.merge(row));
     table(f, "final answers", &all.outcomes)?;
-    table(f, "attempts that failed", &all.failed)?;
-    table(f, "dependencies lost", &day.lost)
+    table(f, "failed attempts", &all.failed)?;
+    table(f, "lost dependencies", &day.lost)
 }
 
 fn table(f: &mut fmt::Formatter<'_>, title: &str, counts: &BTreeMap<String, u64>) -> fmt::Result {
@@ -86,12 +86,12 @@
         let grounds: Vec<String> =
             outage.grounds.iter().map(|(ground, hosts)| format!("{ground} {hosts}")).collect();
         let up = outage.up.map_or_else(
-            || "no host believed it up".to_owned(),
+            || "no host logged it up".to_owned(),
             |(first, last)| format!("up from {first:.2} to {last:.2}"),
         );
         writeln!(
             f,
-            "  {}: down from {:.2} to {:.2} at {} hosts ({}), {up}, {} left",
+            "  {}: down from {:.2} to {:.2} at {} hosts ({}), {up}, {} still down",
             outage.group,
             outage.down.0,
             outage.down.1,
@@ -103,13 +103,16 @@
     Ok(())
 }
 
-fn ended(f: &mut fmt::Formatter<'_>, day: &Day) -> fmt::Result {
+fn suspects(f: &mut fmt::Formatter<'_>, day: &Day) -> fmt::Result {
     let (refused, others) = &day.suspects;
-    writeln!(f, "\nrequests that ended servers; {others} others were on servers that ended")?;
+    writeln!(
+        f,
+        "\nrequests that ended servers; {others} other requests were on servers that ended"
+    )?;
     for (digest, suspect) in refused {
         let servers: Vec<&str> = suspect.servers.iter().map(String::as_str).collect();
         let refused = suspect.refused.map_or_else(
-            || "never seen to be held guilty".to_owned(),
+            || "no host logged it as refused".to_owned(),
             |(first, last)| format!("refused from {first:.2} to {last:.2}"),
         );
         writeln!(
@@ -125,21 +128,21 @@
     Ok(())
 }
 
-fn said(f: &mut fmt::Formatter<'_>, day: &Day) -> fmt::Result {
+fn rests(f: &mut fmt::Formatter<'_>, day: &Day) -> fmt::Result {
     if day.rests.is_empty() {
         return Ok(());
     }
-    writeln!(f, "\nservers that asked for rest or leave")?;
-    for (server, said) in &day.rests {
+    writeln!(f, "\nservers that requested rest or are leaving")?;
+    for (server, record) in &day.rests {
         write!(f, "  {server}:")?;
-        if let Some((first, last)) = said.asked {
-            let (rests, hosts, ms) = (said.rests, said.hosts.len(), said.max_ms);
+        if let Some((first, last)) = record.asked {
+            let (rests, hosts, ms) = (record.rests, record.hosts.len(), record.max_ms);
             write!(
                 f,
-                " {rests} rests from {first:.2} to {last:.2} at {hosts} hosts, {ms} ms at the most"
+                " {rests} rests from {first:.2} to {last:.2} at {hosts} hosts, at most {ms} ms"
             )?;
         }
-        if let Some(at) = said.leaves_at {
+        if let Some(at) = record.leaves_at {
             write!(f, " leaves from {at:.2}")?;
         }
         writeln!(f)?;
@@ -148,11 +151,11 @@
 }
 
 fn drivers(f: &mut fmt::Formatter<'_>, day: &Day) -> fmt::Result {
-    writeln!(f, "\ndrivers; {} changes of maps", day.changes)?;
-    for event in day.drivers.iter().take(MOST_DRIVERS) {
+    writeln!(f, "\ndrivers; {} map changes", day.changes)?;
+    for event in day.drivers.iter().take(MAX_DRIVERS) {
         writeln!(f, "  {:.2} {} {}", event.at, event.host, event.text)?;
     }
-    let left_out = day.drivers.len().saturating_sub(MOST_DRIVERS);
+    let left_out = day.drivers.len().saturating_sub(MAX_DRIVERS);
     if left_out > 0 {
         writeln!(f, "  and {left_out} more")?;
     }
--- a/day/tests/day.rs
+++ b/day/tests/day.rs
@@ -1,4 +1,4 @@
-//! A day of two gateways and a sidecar, with a break of a group.
+//! Tests of the summary of a day: two gateways and a sidecar, and the break of a group.
 
 #![allow(clippy::unwrap_used, reason = "a test that fails may panic")]
 
@@ -15,14 +15,14 @@
 }
 
 #[test]
-fn a_break_has_one_beginning_and_one_end() {
+fn combines_the_lines_of_all_hosts_into_one_outage() {
     let day = day(LOG, "");
     assert_eq!(day.outages.len(), 2);
     let outage = &day.outages[0];
     assert_eq!((outage.down, outage.up), ((35.1, 36.6), Some((40.1, 40.3))));
     assert_eq!((outage.hosts, outage.still_down), (2, 0));
     assert_eq!(outage.grounds["refused"] + outage.grounds["told"], 2);
-    // The next one is another outage, and nobody saw its end.
+    // The next break is another outage, and no host logged its end.
     assert_eq!(
         (day.outages[1].down.0, day.outages[1].up, day.outages[1].still_down),
         (60.0, None, 1)
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn requests_are_counted_by_second_zone_and_reason() {
+fn counts_requests_by_second_zone_and_reason() {
     let day = day(LOG, "");
     let row = &day.rows[&(33, "norte".to_owned())];
     assert_eq!((row.count_of("answered"), row.attempts), (2, 1));
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn lines_that_ran_into_one_another_are_counted_and_left_out() {
+fn counts_and_skips_lines_written_into_one_another() {
     assert_eq!(day(LOG, "").unparsed, 1);
     let noise = "\u{0}\u{1}\nnot a line\n12.5 host\n12.5 host 2026-13-01 [INFO] a: b\n\n";
     let day = day(noise, "host");
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn the_log_of_one_host_counts_from_its_first_line() {
+fn counts_seconds_from_the_first_line_of_a_single_log() {
     let log = "2026-06-06T10:33:59.000Z [INFO] loftcove_gateway: started host=a zone=norte clients=x\n\
         2026-06-06T10:34:01.500Z [INFO] loftcove_gateway::flow: outcome request=q outcome=unknown reason=deadline ms=8000\n";
     let day = day(log, "edge-1");
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn fields_are_found_by_their_whole_name() {
+fn finds_fields_by_their_whole_name() {
     let text = "1.0 h 2026-06-06T10:33:59Z [INFO] m: a hold_ms=5 ms=7 cause=\"two words\" x=";
     let line = Line::parse(text).unwrap();
     assert_eq!((line.field("ms"), line.field("cause")), (Some("7"), Some("two words")));
@@ -67,24 +67,24 @@
 }
 
 #[test]
-fn quantiles_of_few_values() {
+fn computes_quantiles_of_few_values() {
     assert_eq!(quantile(&[], 0.5), None);
     assert_eq!(quantile(&[7], 0.9), Some(7));
     assert_eq!(quantile(&[3, 1, 2], 0.5), Some(2));
 }
 
 #[test]
-fn the_text_tells_the_break() {
+fn prints_the_break_as_text() {
     insta::assert_snapshot!(text::Text(&day(LOG, "")).to_string());
 }
 
 #[test]
-fn a_picture_is_written_or_the_reason_told() {
+fn writes_a_plot_or_returns_an_error_without_requests() {
     let file = std::env::temp_dir().join(format!("loftcove-day-{}.svg", std::process::id()));
     plot::write(&day(LOG, ""), &file).unwrap();
-    let picture = std::fs::read_to_string(&file).unwrap();
+    let plot = std::fs::read_to_string(&file).unwrap();
     std::fs::remove_file(&file).unwrap();
-    assert!(picture.starts_with("<svg"), "{picture}");
+    assert!(plot.starts_with("<svg"), "{plot}");
     let empty = plot::write(&day("", ""), &file);
     assert!(matches!(empty, Err(plot::Error::Empty)));
 }
@@ -99,18 +99,18 @@
 ";
 
 #[test]
-fn a_request_that_ended_servers_is_shown_with_its_servers() {
+fn prints_a_request_that_ended_servers_with_its_servers() {
     let day = day(ENDS, "");
     let (refused, others) = &day.suspects;
     assert_eq!((refused.len(), *others), (1, 1));
     let (digest, suspect) = &refused[0];
     assert_eq!((&**digest, suspect.since, suspect.refused), ("aa", 1.0, Some((3.0, 3.2))));
     assert_eq!((suspect.servers.len(), suspect.hosts.len(), suspect.refusals), (2, 2, 1));
-    let shown = text::Text(&day).to_string();
-    assert!(shown.contains("aa: 2 servers (s1, s2) from 1.00, refused from 3.00"), "{shown}");
+    let printed = text::Text(&day).to_string();
+    assert!(printed.contains("aa: 2 servers (s1, s2) from 1.00, refused from 3.00"), "{printed}");
 }
 
-const SAID: &str = "\
+const RESTS: &str = "\
 1.0 a 2026-01-01T00:00:01Z [INFO] m: server rests server=s1 born=0 asked_ms=3000 ms=3200 request=q status=503
 1.5 b 2026-01-01T00:00:01Z [INFO] m: server rests server=s1 born=0 asked_ms=3000 ms=3700 request=r status=503
 4.3 a 2026-01-01T00:00:04Z [INFO] m: server rests server=s1 born=0 asked_ms=1000 ms=1100 request=s status=429
@@ -118,8 +118,8 @@
 ";
 
 #[test]
-fn servers_are_shown_with_what_they_asked_for() {
-    let shown = text::Text(&day(SAID, "")).to_string();
-    let rests = "s1: 3 rests from 1.00 to 4.30 at 2 hosts, 3700 ms at the most\n";
-    assert!(shown.contains(rests) && shown.contains("s2: leaves from 5.00\n"), "{shown}");
+fn prints_rests_and_leaves_of_servers() {
+    let printed = text::Text(&day(RESTS, "")).to_string();
+    let rests = "s1: 3 rests from 1.00 to 4.30 at 2 hosts, at most 3700 ms\n";
+    assert!(printed.contains(rests) && printed.contains("s2: leaves from 5.00\n"), "{printed}");
 }
--- a/tool/src/day.rs
+++ b/tool/src/day.rs
@@ -31,7 +31,7 @@
     print!("{}", text::Text(&day));
     if let Some(svg) = svg {
         plot::write(&day, &svg)?;
-        println!("\npicture: {}", svg.display());
+        println!("\nplot: {}", svg.display());
     }
     Ok(())
 }
