--- a/wire/generate/src/main.rs
+++ b/wire/generate/src/main.rs
@@ -1,7 +1,7 @@
-//! Writes `wire/src/generated.rs` from `wire/proto/loftcove.proto`.
+//! Generates `wire/src/generated.rs` from `wire/proto/loftcove.proto`.
 //!
-//! Run it in `wire/generate` with `cargo run` after the messages change. The
-//! compiler of the message file is a Rust library, so no `protoc` is needed.
+//! Run it with `cargo run` in `wire/generate` after a change of the `.proto` file. The compiler of
+//! the file is a Rust library, so `protoc` is not needed.
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     let set = protox::compile(["../proto/loftcove.proto"], ["../proto"])?;
--- a/wire/src/lib.rs
+++ b/wire/src/lib.rs
@@ -1,21 +1,21 @@
-//! The messages between loftcove's own processes.
+//! gRPC messages and services between loftcove's own processes.
 //!
-//! `proto/loftcove.proto` declares them; [`generated`] is what the generator
-//! in `generate/` made of it and is committed, so that a build needs no
-//! compiler of message files. The daemon serves and calls these, the tool
-//! calls [`peer_client`](generated::peer_client) for status and explanations.
-//! Decision logic never sees them: the daemon translates at its edge.
+//! They are declared in `proto/loftcove.proto`. The module [`generated`] is written by the program
+//! in `generate/` and committed, so that a build needs no compiler for `.proto` files. The daemon
+//! serves and calls these services. The tool calls [`peer_client`](generated::peer_client) for
+//! status and explanations. The decision crate does not depend on these types: the daemon converts
+//! them to the types of the decision crate.
 
-/// Code made from `proto/loftcove.proto`.
+/// Code generated from `proto/loftcove.proto`.
 #[allow(clippy::all, clippy::unwrap_used, missing_docs)]
 #[rustfmt::skip]
 pub mod generated;
 
 pub use generated::*;
 
-/// Name of the metadata entry that bears the deployment's key.
+/// Name of the metadata entry that contains the deployment's key.
 pub const KEY_ENTRY: &str = "loftcove-key";
 
-/// Largest message between processes, bytes: a bundle of the platform's
-/// largest value, or a request body with its headers.
+/// Maximum size of a message between processes, in bytes. The largest messages are a bundle of the
+/// platform's maximum value size, and a request body with its headers.
 pub const MAX_MESSAGE: usize = 2 * 1024 * 1024;
