--- a/soak/src/check.rs
+++ b/soak/src/check.rs
@@ -6,7 +6,7 @@
 use loftcove_tests::request::Arrival;
 use loftcove_tests::visits::{self, Excess, Excuse, Overrun, Sent, Visit};
 
-use crate::client::{DEADLINE, End, Kind, Seen};
+use crate::client::{DEADLINE, End, Kind, Record};
 use crate::inject::Span;
 use crate::plan::Process;
 
@@ -23,13 +23,13 @@
 pub enum Breach {
     /// An answer is not the request's own or not whole.
     #[error("request {0}: its answer is not its own and whole: {1}")]
-    Mixed(String, String),
+    WrongAnswer(String, String),
     /// A request that may run once ran again, or one ran more often than allowed.
     #[error("request {0} reached {1} backend servers")]
-    Repeated(String, usize),
+    TooManyAttempts(String, usize),
     /// A request was told that it had not run, and had.
     #[error("request {0} ran and was answered {1}")]
-    Denied(String, u16),
+    RanButRejected(String, u16),
     /// A backend server got another request than a client sent.
     #[error("request {0} was changed on its way: {1}")]
     Changed(String, String),
@@ -38,13 +38,13 @@
     Lost(String, u8),
     /// A request had no answer long after its deadline.
     #[error("request {0} at gateway {1} took {2:?}")]
-    Late(String, u8, Duration),
+    TimedOut(String, u8, Duration),
     /// A gateway went back to an older configuration.
     #[error("gateway {0} took the key of configuration {2} after one of {1}")]
-    Back(u8, u64, u64),
+    OlderConfiguration(u8, u64, u64),
     /// A gateway does not go by the newest configuration in time.
     #[error("gateway {0} does not go by configuration {1} after {2:?}")]
-    Unforced(u8, u64, Duration),
+    ConfigurationNotApplied(u8, u64, Duration),
     /// A planned stop took too long.
     #[error("{0:?} did not end after a planned stop")]
     Overdue(Process),
@@ -56,16 +56,16 @@
     Blamed(String),
     /// A server that asked for rest, or said that it leaves, got requests.
     #[error("server {} had asked gateway {} for {:?} ms of rest (none: it leaves) in the answer to {}, and got {} requests, the first {}", .0.server, .0.gateway, .0.rest, .0.ids.0, .0.requests, .0.ids.1)]
-    Disturbed(Excess),
+    NoticeIgnored(Excess),
     /// A server that named a rate limit got more than that from all gateways together.
     #[error("server {} had named {} requests a second and got {} within 4 s, {} allowed, the first {:?}", .0.server, .0.limit, .0.requests, .0.allowed, .0.ids[0])]
-    Overrun(Overrun),
+    LimitExceeded(Overrun),
     /// A pass ran on two maps.
     #[error("{0} passes ran on two maps")]
-    Maps(u64),
+    MixedMaps(u64),
     /// Something does not work again after the faults.
     #[error("not well after the faults: {0}")]
-    Unwell(String),
+    NotRecovered(String),
 }
 
 /// Retries that may reach a server after a request has ended three: the users'
@@ -89,10 +89,10 @@
 
 /// Requests of clients that gateways refused, by their logs, as if they ended
 /// servers.
-pub fn blamed(seen: &[Seen], logs: &[(String, Vec<String>)]) -> Vec<Breach> {
+pub fn blamed(records: &[Record], logs: &[(String, Vec<String>)]) -> Vec<Breach> {
     let ids: BTreeSet<&str> = requests_in(logs, "reason=ends-servers").collect();
-    let blamed = seen.iter().filter(|seen| ids.contains(&*seen.id));
-    blamed.map(|seen| Breach::Blamed(seen.id.clone())).collect()
+    let blamed = records.iter().filter(|record| ids.contains(&*record.id));
+    blamed.map(|record| Breach::Blamed(record.id.clone())).collect()
 }
 
 /// Ids of the requests of which a line with that text tells.
@@ -107,7 +107,7 @@
 /// What is known of a run.
 pub struct Evidence {
     /// What clients saw.
-    pub seen: Vec<Seen>,
+    pub records: Vec<Record>,
     /// What backend servers got, by id.
     pub arrivals: BTreeMap<String, Vec<Arrival>>,
     /// What was done to processes.
@@ -158,14 +158,14 @@
     /// All promises that were broken to clients and backend servers.
     pub fn breaches(&self) -> Vec<Breach> {
         let mut breaches: Vec<Breach> = Vec::new();
-        for seen in &self.seen {
-            let arrivals = self.arrivals.get(&seen.id).map_or(&[][..], Vec::as_slice);
-            breaches.extend(own(seen));
-            breaches.extend(repeated(seen, arrivals.len()));
-            breaches.extend(denied(seen, arrivals.len()));
-            breaches.extend(arrivals.iter().find_map(|arrival| changed(seen, arrival)));
-            breaches.extend(self.lost(seen, arrivals.len()));
-            breaches.extend(self.late(seen));
+        for record in &self.records {
+            let arrivals = self.arrivals.get(&record.id).map_or(&[][..], Vec::as_slice);
+            breaches.extend(own(record));
+            breaches.extend(repeated(record, arrivals.len()));
+            breaches.extend(denied(record, arrivals.len()));
+            breaches.extend(arrivals.iter().find_map(|arrival| changed(record, arrival)));
+            breaches.extend(self.lost(record, arrivals.len()));
+            breaches.extend(self.late(record));
         }
         breaches.extend(self.back());
         breaches.extend(self.disturbed());
@@ -175,16 +175,16 @@
     /// Servers that got more than they had asked for, the worst of each kind.
     fn disturbed(&self) -> Vec<Breach> {
         let done = Done { evidence: self, clock: Clock::now() };
-        let sent = self.seen.iter().map(|seen| {
-            let (at, answered) = (done.clock.ms(seen.time.0), done.clock.ms(seen.time.1));
-            (seen.id.clone(), Sent { gateway: seen.gateway, at, answered })
+        let sent = self.records.iter().map(|record| {
+            let (at, answered) = (done.clock.ms(record.time.0), done.clock.ms(record.time.1));
+            (record.id.clone(), Sent { gateway: record.gateway, at, answered })
         });
         let sent: BTreeMap<String, Sent> = sent.collect();
         let unrested = visits::worst(visits::unrested(&self.visits, &sent, &done));
         let undrained = visits::worst(visits::undrained(&self.visits, &sent, &done));
         let overruns =
-            visits::overruns(&self.visits, &sent, &done).into_iter().map(Breach::Overrun);
-        unrested.into_iter().chain(undrained).map(Breach::Disturbed).chain(overruns).collect()
+            visits::overruns(&self.visits, &sent, &done).into_iter().map(Breach::LimitExceeded);
+        unrested.into_iter().chain(undrained).map(Breach::NoticeIgnored).chain(overruns).collect()
     }
 
     /// Whether something worse than a planned stop was done to a gateway around
@@ -199,27 +199,27 @@
     }
 
     /// A connection that ends without an answer though the request was passed on.
-    fn lost(&self, seen: &Seen, arrivals: usize) -> Option<Breach> {
-        let cut = seen.end == End::Closed && arrivals > 0;
-        let lost = cut && !self.harmed(seen.gateway, seen.time);
-        lost.then(|| Breach::Lost(seen.id.clone(), seen.gateway))
+    fn lost(&self, record: &Record, arrivals: usize) -> Option<Breach> {
+        let cut = record.end == End::Closed && arrivals > 0;
+        let lost = cut && !self.harmed(record.gateway, record.time);
+        lost.then(|| Breach::Lost(record.id.clone(), record.gateway))
     }
 
     /// Answers that came to their end at a gateway, by its log, and not at the client:
     /// a connection was closed before they were written out.
-    pub fn unwritten(&self, logs: &[(String, Vec<String>)]) -> Vec<Breach> {
+    pub fn cut_answers(&self, logs: &[(String, Vec<String>)]) -> Vec<Breach> {
         let answered: BTreeSet<&str> = requests_in(logs, "outcome=answered").collect();
-        let cut = |seen: &&Seen| matches!(seen.end, End::Answer { whole: false, .. });
-        let cut = self.seen.iter().filter(cut).filter(|seen| answered.contains(&*seen.id));
-        let cut = cut.filter(|seen| !self.harmed(seen.gateway, seen.time));
-        cut.map(|seen| Breach::Lost(seen.id.clone(), seen.gateway)).collect()
+        let cut = |record: &&Record| matches!(record.end, End::Answer { whole: false, .. });
+        let cut = self.records.iter().filter(cut).filter(|record| answered.contains(&*record.id));
+        let cut = cut.filter(|record| !self.harmed(record.gateway, record.time));
+        cut.map(|record| Breach::Lost(record.id.clone(), record.gateway)).collect()
     }
 
-    fn late(&self, seen: &Seen) -> Option<Breach> {
-        let time = seen.time.1 - seen.time.0;
-        let late = seen.end != End::NoConnection && time > DEADLINE + LATE;
-        let late = late && !self.harmed(seen.gateway, seen.time);
-        late.then(|| Breach::Late(seen.id.clone(), seen.gateway, time))
+    fn late(&self, record: &Record) -> Option<Breach> {
+        let time = record.time.1 - record.time.0;
+        let late = record.end != End::NoConnection && time > DEADLINE + LATE;
+        let late = late && !self.harmed(record.gateway, record.time);
+        late.then(|| Breach::TimedOut(record.id.clone(), record.gateway, time))
     }
 
     /// Gateways that took an older key after a newer configuration, within one
@@ -227,23 +227,24 @@
     fn back(&self) -> Vec<Breach> {
         let mut breaches = Vec::new();
         let mut newest: BTreeMap<u8, (u64, Instant)> = BTreeMap::new();
-        let mut seen: Vec<&Seen> = self.seen.iter().collect();
-        seen.sort_by_key(|seen| seen.time.1);
-        for seen in seen {
-            let taken = matches!(&seen.end, End::Answer { head, .. } if head.status == 200);
+        let mut records: Vec<&Record> = self.records.iter().collect();
+        records.sort_by_key(|record| record.time.1);
+        for record in records {
+            let taken = matches!(&record.end, End::Answer { head, .. } if head.status == 200);
             if !taken {
                 continue;
             }
-            let known = newest.get(&seen.gateway).copied();
+            let known = newest.get(&record.gateway).copied();
             // A new life may begin with what it first hears of.
-            let lives = known.is_some_and(|(_, at)| !self.restarted(seen.gateway, at, seen.time.0));
+            let lives =
+                known.is_some_and(|(_, at)| !self.restarted(record.gateway, at, record.time.0));
             match known {
-                Some((number, at)) if lives && at < seen.time.0 && seen.key + 1 < number => {
-                    breaches.push(Breach::Back(seen.gateway, number, seen.key));
+                Some((number, at)) if lives && at < record.time.0 && record.key + 1 < number => {
+                    breaches.push(Breach::OlderConfiguration(record.gateway, number, record.key));
                 }
-                Some((number, _)) if lives && number >= seen.key => {}
+                Some((number, _)) if lives && number >= record.key => {}
                 _ => {
-                    newest.insert(seen.gateway, (seen.key, seen.time.1));
+                    newest.insert(record.gateway, (record.key, record.time.1));
                 }
             }
         }
@@ -257,19 +258,19 @@
     }
 }
 
-fn own(seen: &Seen) -> Option<Breach> {
-    let End::Answer { head, body, whole } = &seen.end else { return None };
-    let mixed = |reason: String| Some(Breach::Mixed(seen.id.clone(), reason));
-    if head.request.as_ref().is_some_and(|id| *id != seen.id) {
+fn own(record: &Record) -> Option<Breach> {
+    let End::Answer { head, body, whole } = &record.end else { return None };
+    let mixed = |reason: String| Some(Breach::WrongAnswer(record.id.clone(), reason));
+    if head.request.as_ref().is_some_and(|id| *id != record.id) {
         return mixed(format!("it names {:?}", head.request));
     }
     let Some(signature) = &head.signature else {
         return if (200..300).contains(&head.status) { mixed("unsigned".to_owned()) } else { None };
     };
-    let Some(server) = signature.strip_suffix(&format!(".{}", seen.id)) else {
+    let Some(server) = signature.strip_suffix(&format!(".{}", record.id)) else {
         return mixed(format!("signed {signature}"));
     };
-    match seen.kind {
+    match record.kind {
         Kind::Receipt | Kind::Alert if *whole && *body != format!("answer of {server}") => {
             mixed(format!("body {body}"))
         }
@@ -289,23 +290,23 @@
     (!all.starts_with(body)).then(|| "its events are not in order".to_owned())
 }
 
-fn repeated(seen: &Seen, arrivals: usize) -> Option<Breach> {
-    let most = if seen.kind == Kind::Receipt { 1 } else { MAX_ATTEMPTS };
-    (arrivals > most).then(|| Breach::Repeated(seen.id.clone(), arrivals))
+fn repeated(record: &Record, arrivals: usize) -> Option<Breach> {
+    let most = if record.kind == Kind::Receipt { 1 } else { MAX_ATTEMPTS };
+    (arrivals > most).then(|| Breach::TooManyAttempts(record.id.clone(), arrivals))
 }
 
-fn denied(seen: &Seen, arrivals: usize) -> Option<Breach> {
-    let End::Answer { head, .. } = &seen.end else { return None };
+fn denied(record: &Record, arrivals: usize) -> Option<Breach> {
+    let End::Answer { head, .. } = &record.end else { return None };
     let denied = matches!(head.status, 408 | 421 | 429 | 503);
-    let ran = denied && seen.kind == Kind::Receipt && arrivals > 0;
-    ran.then(|| Breach::Denied(seen.id.clone(), head.status))
+    let ran = denied && record.kind == Kind::Receipt && arrivals > 0;
+    ran.then(|| Breach::RanButRejected(record.id.clone(), head.status))
 }
 
-fn changed(seen: &Seen, arrival: &Arrival) -> Option<Breach> {
-    let path = match seen.kind {
+fn changed(record: &Record, arrival: &Arrival) -> Option<Breach> {
+    let path = match record.kind {
         Kind::Receipt => "/receipt/soak",
         Kind::Alert => "/alert/soak",
         Kind::Draft(_) => "/draft/soak",
     };
-    (!arrival.sound(path)).then(|| Breach::Changed(seen.id.clone(), arrival.0.to_string()))
+    (!arrival.sound(path)).then(|| Breach::Changed(record.id.clone(), arrival.0.to_string()))
 }
--- a/soak/src/client.rs
+++ b/soak/src/client.rs
@@ -24,7 +24,7 @@
 
 /// What callers keep to.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub enum Rules {
+pub enum Policy {
     /// Most of them wait for Retry-After, and after a 401.
     #[default]
     Patient,
@@ -32,31 +32,31 @@
     Immediate,
 }
 
-impl std::str::FromStr for Rules {
-    type Err = UnknownRules;
+impl std::str::FromStr for Policy {
+    type Err = UnknownPolicy;
 
-    fn from_str(text: &str) -> Result<Rules, UnknownRules> {
+    fn from_str(text: &str) -> Result<Policy, UnknownPolicy> {
         match text {
-            "patient" => Ok(Rules::Patient),
-            "immediate" => Ok(Rules::Immediate),
-            _ => Err(UnknownRules(text.to_owned())),
+            "patient" => Ok(Policy::Patient),
+            "immediate" => Ok(Policy::Immediate),
+            _ => Err(UnknownPolicy(text.to_owned())),
         }
     }
 }
 
-impl fmt::Display for Rules {
+impl fmt::Display for Policy {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Rules::Patient => "patient",
-            Rules::Immediate => "immediate",
+            Policy::Patient => "patient",
+            Policy::Immediate => "immediate",
         })
     }
 }
 
-/// Rules of callers that there are not.
+/// Policy of callers that there are not.
 #[derive(Debug, thiserror::Error)]
 #[error("callers are patient or immediate, not {0}")]
-pub struct UnknownRules(String);
+pub struct UnknownPolicy(String);
 
 /// Kind of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -103,7 +103,7 @@
 
 /// One request as its client saw it.
 #[derive(Debug, Clone)]
-pub struct Seen {
+pub struct Record {
     /// Its id.
     pub id: String,
     /// Its kind.
@@ -118,9 +118,9 @@
     pub end: End,
 }
 
-impl Seen {
+impl Record {
     /// Whether it was refused as not run.
-    pub fn refused(&self) -> bool {
+    pub fn is_rejected(&self) -> bool {
         matches!(&self.end, End::Answer { head, .. } if matches!(head.status, 429 | 503))
     }
 
@@ -142,7 +142,7 @@
     /// Whether they are to stop.
     pub stop: AtomicBool,
     /// What they have seen.
-    pub seen: Mutex<Vec<Seen>>,
+    pub records: Mutex<Vec<Record>>,
 }
 
 /// Key of the team in the configuration with that number.
@@ -154,12 +154,12 @@
 pub async fn run(
     shared: Arc<Shared>,
     gateways: Vec<std::net::SocketAddr>,
-    rules: Rules,
+    policy: Policy,
     seed: u64,
     number: u32,
 ) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed ^ (u64::from(number) << 32));
-    let hasty = rules == Rules::Immediate || number.is_multiple_of(HASTY);
+    let hasty = policy == Policy::Immediate || number.is_multiple_of(HASTY);
     let mut kept: Option<(u8, Client)> = None;
     while !shared.stop.load(Ordering::Relaxed) {
         let (gateway, client) = match kept.take() {
@@ -169,16 +169,16 @@
                 (gateway as u8, Client::connect(gateways[gateway]).await)
             }
         };
-        let (seen, client) = one(&shared, &mut rng, gateway, client).await;
-        let ended = !matches!(seen.end, End::Answer { whole: true, .. });
+        let (record, client) = one(&shared, &mut rng, gateway, client).await;
+        let ended = !matches!(record.end, End::Answer { whole: true, .. });
         kept = client.filter(|_| !ended).map(|client| (gateway, client));
-        if seen.end == End::NoConnection {
+        if record.end == End::NoConnection {
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
         if !hasty {
-            tokio::time::sleep(seen.pause()).await;
+            tokio::time::sleep(record.pause()).await;
         }
-        shared.seen.lock().expect("no holder of the records panics").push(seen);
+        shared.records.lock().expect("no holder of the records panics").push(record);
     }
 }
 
@@ -188,7 +188,7 @@
     rng: &mut ChaCha8Rng,
     gateway: u8,
     client: Option<Client>,
-) -> (Seen, Option<Client>) {
+) -> (Record, Option<Client>) {
     let newest = shared.newest.load(Ordering::Relaxed);
     // Now and then with the key of an earlier configuration.
     let back = if rng.random_ratio(1, 10) { rng.random_range(0..3) } else { 0 };
@@ -204,7 +204,7 @@
         }
     };
     let time = (sent, Instant::now());
-    (Seen { id: request.id, kind, gateway, key: number, time, end }, client)
+    (Record { id: request.id, kind, gateway, key: number, time, end }, client)
 }
 
 async fn ask(client: &mut Client, request: &Request) -> End {
--- a/soak/src/inject.rs
+++ b/soak/src/inject.rs
@@ -431,7 +431,7 @@
 
 /// Writes the entries of all plain servers with the times of their starts, so that
 /// each later start is another run.
-pub async fn tell_starts(system: &System) {
+pub async fn write_starts(system: &System) {
     for number in 0..system.plan.plain {
         let (id, address) = (server_name(false, number), system.plain_address(number));
         system.list_run(&id, SMS, address, FIRST_START).await;
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -57,7 +57,7 @@
     seeds: Vec<u64>,
     size: plan::Size,
     faults: Faults,
-    callers: client::Rules,
+    callers: client::Policy,
     keep: PathBuf,
     keep_all: bool,
 }
@@ -144,7 +144,7 @@
         sound &= !broken;
         if broken || options.keep_all {
             let folder = options.keep.join(format!("seed-{seed}-{}", std::process::id()));
-            report.keep(&folder)?;
+            report.save(&folder)?;
             println!("  kept in {}", folder.display());
         }
     }
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -26,7 +26,7 @@
     /// What ran.
     pub size: plan::Size,
     /// What the callers kept to.
-    pub callers: client::Rules,
+    pub callers: client::Policy,
     /// Faults that were drawn.
     pub events: Vec<plan::Event>,
     /// Requests that were sent, and how many of them were answered with success.
@@ -53,7 +53,7 @@
 pub async fn play(
     seed: u64,
     size: &plan::Size,
-    callers: client::Rules,
+    callers: client::Policy,
     events: Vec<plan::Event>,
 ) -> Report {
     let mut system = System::start(Plan {
@@ -65,7 +65,7 @@
         proxied: true,
     })
     .await;
-    inject::tell_starts(&system).await;
+    inject::write_starts(&system).await;
     let shared: Arc<client::Shared> = Arc::default();
     shared.newest.store(2, Ordering::Relaxed);
     system.configure(2, &[&client::key(2), &client::key(1)]).await;
@@ -84,14 +84,15 @@
     for client in clients {
         client.await.expect("no client panics");
     }
-    let seen = std::mem::take(&mut *shared.seen.lock().expect("no holder of the records panics"));
-    let answered = |seen: &&client::Seen| matches!(&seen.end, client::End::Answer { head, whole: true, .. } if head.status == 200);
-    let requests = (seen.len(), seen.iter().filter(answered).count());
-    let refused = seen.iter().filter(|seen| seen.refused()).count();
+    let records =
+        std::mem::take(&mut *shared.records.lock().expect("no holder of the records panics"));
+    let answered = |record: &&client::Record| matches!(&record.end, client::End::Answer { head, whole: true, .. } if head.status == 200);
+    let requests = (records.len(), records.iter().filter(answered).count());
+    let refused = records.iter().filter(|record| record.is_rejected()).count();
     let mut ends: BTreeMap<String, usize> = BTreeMap::new();
-    seen.iter().for_each(|seen| *ends.entry(seen.end.to_string()).or_default() += 1);
+    records.iter().for_each(|record| *ends.entry(record.end.to_string()).or_default() += 1);
     let (arrivals, visits) = (arrivals(&system).await, system.visits().await);
-    let evidence = Evidence { seen, arrivals, spans, visits, harms };
+    let evidence = Evidence { records, arrivals, spans, visits, harms };
     let poisoned = poisoned(&system).await;
     let mut states = Vec::new();
     for group in 0..system.plan.groups {
@@ -103,13 +104,13 @@
     breaches.extend(overdue.into_iter().map(Breach::Overdue));
     breaches.extend(unforced);
     breaches.extend(poisoned);
-    breaches.extend(unwell.map(Breach::Unwell));
+    breaches.extend(unwell.map(Breach::NotRecovered));
     if number("violations") > 0 {
-        breaches.push(Breach::Maps(number("violations")));
+        breaches.push(Breach::MixedMaps(number("violations")));
     }
     let logs = system.logs();
-    breaches.extend(check::blamed(&evidence.seen, &logs));
-    breaches.extend(evidence.unwritten(&logs));
+    breaches.extend(check::blamed(&evidence.records, &logs));
+    breaches.extend(evidence.cut_answers(&logs));
     let switches = number("switches");
     Report { seed, size: *size, callers, events, requests, refused, ends, switches, breaches, logs }
 }
@@ -120,7 +121,7 @@
     /// # Errors
     ///
     /// What the system said.
-    pub fn keep(&self, folder: &Path) -> std::io::Result<()> {
+    pub fn save(&self, folder: &Path) -> std::io::Result<()> {
         let lines = |lines: Vec<String>| lines.join("\n");
         let run = format!(
             "version={}\nseed={}\n{:?}\ncallers={}\nends={:?}",
@@ -158,7 +159,7 @@
         while !system.is_ready(gateway).await || system.ask(gateway, &request()).await.status == 401
         {
             if began.elapsed() > BOUND {
-                return Some(Breach::Unforced(gateway, newest, began.elapsed()));
+                return Some(Breach::ConfigurationNotApplied(gateway, newest, began.elapsed()));
             }
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
--- a/soak/tests/seeds.rs
+++ b/soak/tests/seeds.rs
@@ -16,7 +16,7 @@
 struct Kept {
     seed: u64,
     size: (u8, u8, u8, u32, Duration),
-    callers: client::Rules,
+    callers: client::Policy,
     without: Vec<String>,
 }
 
@@ -26,7 +26,7 @@
         let mut words = line.split_whitespace();
         let seed = words.next().unwrap().parse().unwrap();
         let mut size = SIZE;
-        let (mut callers, mut without) = (client::Rules::default(), Vec::new());
+        let (mut callers, mut without) = (client::Policy::default(), Vec::new());
         for (name, value) in words.map_while(|word| word.split_once('=')) {
             match name {
                 "gateways" => size.gateways = value.parse().unwrap(),
@@ -64,7 +64,7 @@
         let report = run::play(kept.seed, &kept.size(), kept.callers, events).await;
         if !report.breaches.is_empty() {
             let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("seed-{}", kept.seed));
-            report.keep(&folder).unwrap();
+            report.save(&folder).unwrap();
             eprintln!("logs of seed {} are in {}", kept.seed, folder.display());
         }
         assert!(report.requests.1 > 100, "{:?} requests", report.requests);
@@ -76,14 +76,14 @@
 fn a_kept_seed_may_have_a_size_of_its_own() {
     let kept = Kept::read("7 gateways=16 seconds=20 a cause with x=y in it");
     let size = (16, SIZE.ranks, SIZE.plain, SIZE.clients, Duration::from_secs(20));
-    let (callers, without) = (client::Rules::Patient, Vec::new());
+    let (callers, without) = (client::Policy::Patient, Vec::new());
     assert_eq!(kept, Kept { seed: 7, size, callers, without });
 }
 
 #[test]
 fn a_kept_seed_may_be_played_as_it_once_was() {
     let kept = Kept::read("7 callers=immediate without=limit,lose a cause");
-    assert_eq!(kept.callers, client::Rules::Immediate);
+    assert_eq!(kept.callers, client::Policy::Immediate);
     let events = plan::draw_without(kept.seed, &kept.size(), &kept.without);
     let newer = ["limit", "lose"];
     assert!(!events.is_empty() && events.iter().all(|event| !newer.contains(&event.fault.name())));
