--- a/soak/src/check.rs
+++ b/soak/src/check.rs
@@ -1,4 +1,4 @@
-//! What is promised, checked on what clients and backend servers saw.
+//! Checks the records of clients and backend servers against loftcove's guarantees.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -10,70 +10,70 @@
 use crate::inject::Span;
 use crate::plan::Process;
 
-/// How much later than its deadline a request may end: the machine may be busy
-/// with other things, and a paused process catches up first.
-const LATE: Duration = Duration::from_secs(2);
-/// Attempts that the routes of the soak allow.
+/// Time after its deadline within which a request must end. The machine may be busy with other
+/// work, and a paused process first handles its backlog.
+const DEADLINE_TOLERANCE: Duration = Duration::from_secs(2);
+/// Maximum number of attempts by the routes of the soak test.
 const MAX_ATTEMPTS: usize = 2;
-/// Time that a process takes to be well again after something was done to it.
-const AFTER: Duration = Duration::from_millis(500);
+/// Time that a process needs to recover after a fault.
+const FAULT_RECOVERY: Duration = Duration::from_millis(500);
 
-/// A broken promise.
+/// A broken guarantee.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum Breach {
-    /// An answer is not the request's own or not whole.
-    #[error("request {0}: its answer is not its own and whole: {1}")]
+    /// An answer belongs to another request or is incomplete.
+    #[error("request {0}: answer of another request or incomplete answer: {1}")]
     WrongAnswer(String, String),
-    /// A request that may run once ran again, or one ran more often than allowed.
+    /// A request reached more backend servers than its attempts allow.
     #[error("request {0} reached {1} backend servers")]
     TooManyAttempts(String, usize),
-    /// A request was told that it had not run, and had.
+    /// A request ran although it was answered as not run.
     #[error("request {0} ran and was answered {1}")]
     RanButRejected(String, u16),
-    /// A backend server got another request than a client sent.
-    #[error("request {0} was changed on its way: {1}")]
+    /// A backend server received a request other than the one that the client sent.
+    #[error("request {0} was changed in transit: {1}")]
     Changed(String, String),
-    /// A request was cut off though its gateway was at most stopped as planned.
+    /// A request was cut off although its gateway had no fault other than a planned stop.
     #[error("request {0} was cut off by gateway {1}")]
     Lost(String, u8),
-    /// A request had no answer long after its deadline.
+    /// A request ended long after its deadline.
     #[error("request {0} at gateway {1} took {2:?}")]
     TimedOut(String, u8, Duration),
-    /// A gateway went back to an older configuration.
-    #[error("gateway {0} took the key of configuration {2} after one of {1}")]
+    /// A gateway used an older configuration after a newer one.
+    #[error("gateway {0} accepted the key of configuration {2} after that of configuration {1}")]
     OlderConfiguration(u8, u64, u64),
-    /// A gateway does not go by the newest configuration in time.
-    #[error("gateway {0} does not go by configuration {1} after {2:?}")]
+    /// A gateway did not apply the newest configuration in time.
+    #[error("gateway {0} has not applied configuration {1} after {2:?}")]
     ConfigurationNotApplied(u8, u64, Duration),
-    /// A planned stop took too long.
-    #[error("{0:?} did not end after a planned stop")]
+    /// A process did not exit in time after a planned stop.
+    #[error("{0:?} did not exit in time after a planned stop")]
     Overdue(Process),
-    /// A request under which servers end reached others after the third.
+    /// A request that ends servers reached too many servers after it had ended three.
     #[error("{0} ended {1} servers, and reached {2} more after the third")]
     Poisoned(String, usize, usize),
-    /// A request was refused for ends of servers that another one ended.
-    #[error("request {0} was refused for ends that are not its own")]
+    /// A request was rejected for ends of servers that another request caused.
+    #[error("request {0} was rejected for ends that another request caused")]
     Blamed(String),
-    /// A server that asked for rest, or said that it leaves, got requests.
-    #[error("server {} had asked gateway {} for {:?} ms of rest (none: it leaves) in the answer to {}, and got {} requests, the first {}", .0.server, .0.gateway, .0.rest, .0.ids.0, .0.requests, .0.ids.1)]
+    /// A server received requests after it had requested rest or announced that it is leaving.
+    #[error("server {} had requested from gateway {} {:?} ms of rest (none: it is leaving) in the answer to {}, and received {} requests, the first {}", .0.server, .0.gateway, .0.rest, .0.ids.0, .0.requests, .0.ids.1)]
     NoticeIgnored(Excess),
-    /// A server that named a rate limit got more than that from all gateways together.
-    #[error("server {} had named {} requests a second and got {} within 4 s, {} allowed, the first {:?}", .0.server, .0.limit, .0.requests, .0.allowed, .0.ids[0])]
+    /// A server received more requests from all gateways together than its rate limit allows.
+    #[error("server {} had a limit of {} requests per second and received {} within 4 s, {} allowed, the first {:?}", .0.server, .0.limit, .0.requests, .0.allowed, .0.ids[0])]
     LimitExceeded(Overrun),
-    /// A pass ran on two maps.
+    /// Passes ran on two maps.
     #[error("{0} passes ran on two maps")]
     MixedMaps(u64),
-    /// Something does not work again after the faults.
-    #[error("not well after the faults: {0}")]
+    /// Something still fails after the end of the faults.
+    #[error("not recovered after the faults: {0}")]
     NotRecovered(String),
 }
 
-/// Retries that may reach a server after a request has ended three: the users'
-/// bound, which holds from some seconds later on; here from the third end.
-const RETRIES: usize = 3;
+/// Maximum number of retries that may reach a server after a request has ended three servers. The
+/// users' bound applies from some seconds after the third end; this check applies it at once.
+const MAX_RETRIES: usize = 3;
 
-/// Requests that reached more servers than they may, by the ends of one kind of
-/// servers and what reached these.
+/// Returns the requests that reached too many servers after their third end. `ends` and `arrivals`
+/// are the ends of one kind of servers and the requests that reached these.
 pub fn poisoned(ends: &[serde_json::Value], arrivals: &[serde_json::Value]) -> Vec<Breach> {
     let mut bodies: Vec<&str> = ends.iter().filter_map(|end| end["body"].as_str()).collect();
     bodies.sort_unstable();
@@ -82,12 +82,12 @@
         let own: Vec<_> = ends.iter().filter(|end| end["body"] == body).collect();
         let third = own.get(2)?["arrivals"].as_u64()? as usize;
         let later = arrivals.iter().skip(third).filter(|arrival| arrival["body"] == body).count();
-        (later > RETRIES).then(|| Breach::Poisoned(body.to_owned(), own.len(), later))
+        (later > MAX_RETRIES).then(|| Breach::Poisoned(body.to_owned(), own.len(), later))
     };
     bodies.into_iter().filter_map(check).collect()
 }
 
-/// Requests of clients that gateways refused, by their logs, as if they ended
+/// Returns the requests of clients that gateways rejected, by their logs, as requests that end
 /// servers.
 pub fn blamed(records: &[Record], logs: &[(String, Vec<String>)]) -> Vec<Breach> {
     let ids: BTreeSet<&str> = requests_in(logs, "reason=ends-servers").collect();
@@ -95,7 +95,7 @@
     blamed.map(|record| Breach::Blamed(record.id.clone())).collect()
 }
 
-/// Ids of the requests of which a line with that text tells.
+/// Returns the ids of the requests in the lines that contain a text.
 fn requests_in<'a>(
     logs: &'a [(String, Vec<String>)],
     text: &'a str,
@@ -104,21 +104,21 @@
     lines.filter_map(|line| line.split_once("request=")?.1.split(' ').next())
 }
 
-/// What is known of a run.
+/// Records of a run.
 pub struct Evidence {
-    /// What clients saw.
+    /// Requests as their clients saw them.
     pub records: Vec<Record>,
-    /// What backend servers got, by id.
+    /// Requests that reached backend servers, by their id.
     pub arrivals: BTreeMap<String, Vec<Arrival>>,
-    /// What was done to processes.
+    /// Faults of processes.
     pub spans: Vec<Span>,
-    /// What reached servers, also where it was refused.
+    /// Requests that reached servers, including rejected ones.
     pub visits: Vec<Visit>,
-    /// Times in which the links of servers were harmed.
+    /// Faults of the links of servers, with their start and end.
     pub harms: Vec<(String, (Instant, Instant))>,
 }
 
-/// Time of day, Unix milliseconds, of an instant of this process.
+/// Converts instants of this process to times of day, in Unix milliseconds.
 struct Clock(Instant, u64);
 
 impl Clock {
@@ -132,19 +132,19 @@
     }
 }
 
-/// What was done to gateways and to the links of servers.
-struct Done<'a> {
+/// Excuses a gateway and a server during faults of the gateway and of the server's links.
+struct Faults<'a> {
     evidence: &'a Evidence,
     clock: Clock,
 }
 
-impl Done<'_> {
+impl Faults<'_> {
     fn overlaps(&self, (since, until): (Instant, Instant), from: u64, to: u64) -> bool {
-        self.clock.ms(since) <= to && self.clock.ms(until + AFTER) >= from
+        self.clock.ms(since) <= to && self.clock.ms(until + FAULT_RECOVERY) >= from
     }
 }
 
-impl Excuse for Done<'_> {
+impl Excuse for Faults<'_> {
     fn holds(&self, gateway: u8, server: &str, from: u64, to: u64) -> bool {
         let spans = &self.evidence.spans;
         let mut own = spans.iter().filter(|span| span.process == Process::Gateway(gateway));
@@ -155,94 +155,97 @@
 }
 
 impl Evidence {
-    /// All promises that were broken to clients and backend servers.
+    /// Returns all broken guarantees to clients and backend servers.
     pub fn breaches(&self) -> Vec<Breach> {
         let mut breaches: Vec<Breach> = Vec::new();
         for record in &self.records {
             let arrivals = self.arrivals.get(&record.id).map_or(&[][..], Vec::as_slice);
-            breaches.extend(own(record));
-            breaches.extend(repeated(record, arrivals.len()));
-            breaches.extend(denied(record, arrivals.len()));
+            breaches.extend(wrong_answer(record));
+            breaches.extend(too_many_attempts(record, arrivals.len()));
+            breaches.extend(ran_but_rejected(record, arrivals.len()));
             breaches.extend(arrivals.iter().find_map(|arrival| changed(record, arrival)));
             breaches.extend(self.lost(record, arrivals.len()));
             breaches.extend(self.late(record));
         }
-        breaches.extend(self.back());
-        breaches.extend(self.disturbed());
+        breaches.extend(self.older_configurations());
+        breaches.extend(self.ignored_notices());
         breaches
     }
 
-    /// Servers that got more than they had asked for, the worst of each kind.
-    fn disturbed(&self) -> Vec<Breach> {
-        let done = Done { evidence: self, clock: Clock::now() };
+    /// Returns the servers that received too many requests after a notice or over their limit: the
+    /// worst case of each notice, and every case of a limit.
+    fn ignored_notices(&self) -> Vec<Breach> {
+        let faults = Faults { evidence: self, clock: Clock::now() };
         let sent = self.records.iter().map(|record| {
-            let (at, answered) = (done.clock.ms(record.time.0), done.clock.ms(record.time.1));
+            let (at, answered) = (faults.clock.ms(record.time.0), faults.clock.ms(record.time.1));
             (record.id.clone(), Sent { gateway: record.gateway, at, answered })
         });
         let sent: BTreeMap<String, Sent> = sent.collect();
-        let unrested = visits::worst(visits::unrested(&self.visits, &sent, &done));
-        let undrained = visits::worst(visits::undrained(&self.visits, &sent, &done));
+        let unrested = visits::worst(visits::unrested(&self.visits, &sent, &faults));
+        let undrained = visits::worst(visits::undrained(&self.visits, &sent, &faults));
         let overruns =
-            visits::overruns(&self.visits, &sent, &done).into_iter().map(Breach::LimitExceeded);
+            visits::overruns(&self.visits, &sent, &faults).into_iter().map(Breach::LimitExceeded);
         unrested.into_iter().chain(undrained).map(Breach::NoticeIgnored).chain(overruns).collect()
     }
 
-    /// Whether something worse than a planned stop was done to a gateway around
-    /// that time.
-    fn harmed(&self, gateway: u8, (from, to): (Instant, Instant)) -> bool {
+    /// Returns whether a gateway had a fault other than a planned stop around a time.
+    fn had_fault(&self, gateway: u8, (from, to): (Instant, Instant)) -> bool {
         self.spans.iter().any(|span| {
             span.process == Process::Gateway(gateway)
                 && !span.planned
                 && span.time.0 <= to
-                && span.time.1 + AFTER >= from
+                && span.time.1 + FAULT_RECOVERY >= from
         })
     }
 
-    /// A connection that ends without an answer though the request was passed on.
+    /// Returns a breach if the connection ended without an answer although the request had reached
+    /// a backend server.
     fn lost(&self, record: &Record, arrivals: usize) -> Option<Breach> {
         let cut = record.end == End::Closed && arrivals > 0;
-        let lost = cut && !self.harmed(record.gateway, record.time);
+        let lost = cut && !self.had_fault(record.gateway, record.time);
         lost.then(|| Breach::Lost(record.id.clone(), record.gateway))
     }
 
-    /// Answers that came to their end at a gateway, by its log, and not at the client:
-    /// a connection was closed before they were written out.
+    /// Returns the answers that were complete at a gateway, by its log, but not at the client: the
+    /// connection was closed before they were written.
     pub fn cut_answers(&self, logs: &[(String, Vec<String>)]) -> Vec<Breach> {
         let answered: BTreeSet<&str> = requests_in(logs, "outcome=answered").collect();
         let cut = |record: &&Record| matches!(record.end, End::Answer { whole: false, .. });
         let cut = self.records.iter().filter(cut).filter(|record| answered.contains(&*record.id));
-        let cut = cut.filter(|record| !self.harmed(record.gateway, record.time));
+        let cut = cut.filter(|record| !self.had_fault(record.gateway, record.time));
         cut.map(|record| Breach::Lost(record.id.clone(), record.gateway)).collect()
     }
 
+    /// Returns a breach if a request ended long after its deadline.
     fn late(&self, record: &Record) -> Option<Breach> {
         let time = record.time.1 - record.time.0;
-        let late = record.end != End::NoConnection && time > DEADLINE + LATE;
-        let late = late && !self.harmed(record.gateway, record.time);
+        let late = record.end != End::NoConnection && time > DEADLINE + DEADLINE_TOLERANCE;
+        let late = late && !self.had_fault(record.gateway, record.time);
         late.then(|| Breach::TimedOut(record.id.clone(), record.gateway, time))
     }
 
-    /// Gateways that took an older key after a newer configuration, within one
-    /// life. A configuration takes its own key and the one before.
-    fn back(&self) -> Vec<Breach> {
+    /// Returns the gateways that accepted an outdated key after they had applied a newer
+    /// configuration, within one run of their process. A configuration accepts its own key and the
+    /// previous one.
+    fn older_configurations(&self) -> Vec<Breach> {
         let mut breaches = Vec::new();
         let mut newest: BTreeMap<u8, (u64, Instant)> = BTreeMap::new();
         let mut records: Vec<&Record> = self.records.iter().collect();
         records.sort_by_key(|record| record.time.1);
         for record in records {
-            let taken = matches!(&record.end, End::Answer { head, .. } if head.status == 200);
-            if !taken {
+            let accepted = matches!(&record.end, End::Answer { head, .. } if head.status == 200);
+            if !accepted {
                 continue;
             }
             let known = newest.get(&record.gateway).copied();
-            // A new life may begin with what it first hears of.
-            let lives =
+            // A new run may start with an older configuration, which is the first that it receives.
+            let same_run =
                 known.is_some_and(|(_, at)| !self.restarted(record.gateway, at, record.time.0));
             match known {
-                Some((number, at)) if lives && at < record.time.0 && record.key + 1 < number => {
+                Some((number, at)) if same_run && at < record.time.0 && record.key + 1 < number => {
                     breaches.push(Breach::OlderConfiguration(record.gateway, number, record.key));
                 }
-                Some((number, _)) if lives && number >= record.key => {}
+                Some((number, _)) if same_run && number >= record.key => {}
                 _ => {
                     newest.insert(record.gateway, (record.key, record.time.1));
                 }
@@ -258,50 +261,58 @@
     }
 }
 
-fn own(record: &Record) -> Option<Breach> {
+/// Returns a breach if the answer belongs to another request or is incomplete.
+fn wrong_answer(record: &Record) -> Option<Breach> {
     let End::Answer { head, body, whole } = &record.end else { return None };
-    let mixed = |reason: String| Some(Breach::WrongAnswer(record.id.clone(), reason));
+    let breach = |reason: String| Some(Breach::WrongAnswer(record.id.clone(), reason));
     if head.request.as_ref().is_some_and(|id| *id != record.id) {
-        return mixed(format!("it names {:?}", head.request));
+        return breach(format!("it names {:?}", head.request));
     }
     let Some(signature) = &head.signature else {
-        return if (200..300).contains(&head.status) { mixed("unsigned".to_owned()) } else { None };
+        return if (200..300).contains(&head.status) {
+            breach("unsigned".to_owned())
+        } else {
+            None
+        };
     };
     let Some(server) = signature.strip_suffix(&format!(".{}", record.id)) else {
-        return mixed(format!("signed {signature}"));
+        return breach(format!("signed {signature}"));
     };
     match record.kind {
         Kind::Receipt | Kind::Alert if *whole && *body != format!("answer of {server}") => {
-            mixed(format!("body {body}"))
+            breach(format!("body {body}"))
         }
         Kind::Draft(events) if head.status == 200 => {
-            events_fit(events, body, *whole).and_then(mixed)
+            stream_fault(events, body, *whole).and_then(breach)
         }
         _ => None,
     }
 }
 
-/// Whether a stream has its events in order, and all of them if it is whole.
-fn events_fit(events: u64, body: &str, whole: bool) -> Option<String> {
+/// Returns what is wrong with a stream: its events must be in order, and complete if it is whole.
+fn stream_fault(events: u64, body: &str, whole: bool) -> Option<String> {
     let all: String = (1..=events).map(|n| format!("id: {n}\ndata: piece {n}\n\n")).collect();
     if whole && body != all {
         return Some(format!("{} of {} bytes, and complete", body.len(), all.len()));
     }
-    (!all.starts_with(body)).then(|| "its events are not in order".to_owned())
+    (!all.starts_with(body)).then(|| "events are not in order".to_owned())
 }
 
-fn repeated(record: &Record, arrivals: usize) -> Option<Breach> {
-    let most = if record.kind == Kind::Receipt { 1 } else { MAX_ATTEMPTS };
-    (arrivals > most).then(|| Breach::TooManyAttempts(record.id.clone(), arrivals))
+/// Returns a breach if the request reached too many backend servers.
+fn too_many_attempts(record: &Record, arrivals: usize) -> Option<Breach> {
+    let max = if record.kind == Kind::Receipt { 1 } else { MAX_ATTEMPTS };
+    (arrivals > max).then(|| Breach::TooManyAttempts(record.id.clone(), arrivals))
 }
 
-fn denied(record: &Record, arrivals: usize) -> Option<Breach> {
+/// Returns a breach if a request that may run only once ran although it was answered as not run.
+fn ran_but_rejected(record: &Record, arrivals: usize) -> Option<Breach> {
     let End::Answer { head, .. } = &record.end else { return None };
-    let denied = matches!(head.status, 408 | 421 | 429 | 503);
-    let ran = denied && record.kind == Kind::Receipt && arrivals > 0;
+    let rejected = matches!(head.status, 408 | 421 | 429 | 503);
+    let ran = rejected && record.kind == Kind::Receipt && arrivals > 0;
     ran.then(|| Breach::RanButRejected(record.id.clone(), head.status))
 }
 
+/// Returns a breach if a request reached a backend server changed.
 fn changed(record: &Record, arrival: &Arrival) -> Option<Breach> {
     let path = match record.kind {
         Kind::Receipt => "/receipt/soak",
--- a/soak/src/client.rs
+++ b/soak/src/client.rs
@@ -1,4 +1,4 @@
-//! Clients that send requests over kept connections, and write down what they saw.
+//! Clients that send requests over persistent connections and record the results.
 
 use std::fmt;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -11,24 +11,24 @@
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::SeedableRng as _;
 
-/// Time for which a client waits for an answer, and what it tells the gateway.
+/// Deadline of each request, which the client sends to the gateway.
 pub const DEADLINE: Duration = Duration::from_millis(3_000);
-/// Longest time that a client waits before it takes the gateway to be dead.
-const GIVE_UP: Duration = Duration::from_secs(20);
+/// Time without an answer after which a client gives up on a connection.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Of so many clients one ignores Retry-After, as some callers do.
-const HASTY: u32 = 4;
+/// One of this many clients ignores Retry-After, as some callers do.
+const IMMEDIATE_INTERVAL: u32 = 4;
 
-/// Pause of a client whose key its gateway does not know yet.
+/// Delay of a client after its gateway rejected a key that is new to the gateway.
 const UNKNOWN_KEY_PAUSE: Duration = Duration::from_millis(200);
 
-/// What callers keep to.
+/// Policy of callers for the delay before the next request.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Policy {
-    /// Most of them wait for Retry-After, and after a 401.
+    /// Most callers wait for Retry-After, and after a 401.
     #[default]
     Patient,
-    /// They ask again at once, whatever they were told.
+    /// All callers send the next request at once and ignore Retry-After.
     Immediate,
 }
 
@@ -53,7 +53,7 @@
     }
 }
 
-/// Policy of callers that there are not.
+/// The policy of callers does not exist.
 #[derive(Debug, thiserror::Error)]
 #[error("callers are patient or immediate, not {0}")]
 pub struct UnknownPolicy(String);
@@ -61,30 +61,30 @@
 /// Kind of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
-    /// May run once.
+    /// A request that may run only once.
     Receipt,
-    /// May run again.
+    /// A request that may run again.
     Alert,
-    /// A stream with so many events.
+    /// A stream with this number of events.
     Draft(u64),
 }
 
 /// How a request ended, as its client saw it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum End {
-    /// No connection came up: nothing was sent.
+    /// The connection could not be established: nothing was sent.
     NoConnection,
     /// The connection ended without a head.
     Closed,
-    /// Nothing came within [`GIVE_UP`].
+    /// No answer arrived within [`ANSWER_TIMEOUT`].
     Silent,
-    /// A head, and a body as far as it came.
+    /// A head arrived, and at least a part of the body.
     Answer {
-        /// Its head.
+        /// Head of the answer.
         head: Head,
-        /// Body, as far as it came.
+        /// Received part of the body.
         body: String,
-        /// Whether the body ended as it must.
+        /// Whether the body is complete.
         whole: bool,
     },
 }
@@ -104,27 +104,27 @@
 /// One request as its client saw it.
 #[derive(Debug, Clone)]
 pub struct Record {
-    /// Its id.
+    /// Id of the request.
     pub id: String,
-    /// Its kind.
+    /// Kind of the request.
     pub kind: Kind,
-    /// Gateway that it was sent to.
+    /// Gateway to which it was sent.
     pub gateway: u8,
-    /// Number of the configuration whose key it bore.
+    /// Number of the configuration whose key it had.
     pub key: u64,
-    /// When it was sent, and when it ended.
+    /// Times at which it was sent and at which it ended.
     pub time: (Instant, Instant),
     /// How it ended.
     pub end: End,
 }
 
 impl Record {
-    /// Whether it was refused as not run.
+    /// Returns whether it was rejected as not run.
     pub fn is_rejected(&self) -> bool {
         matches!(&self.end, End::Answer { head, .. } if matches!(head.status, 429 | 503))
     }
 
-    /// How long its caller waits before the next request, if it heeds Retry-After.
+    /// Returns the delay before the next request of a caller that waits for Retry-After.
     fn pause(&self) -> Duration {
         match &self.end {
             End::Answer { head, .. } if head.status == 401 => UNKNOWN_KEY_PAUSE,
@@ -134,23 +134,23 @@
     }
 }
 
-/// What all clients share.
+/// State that all clients share.
 #[derive(Debug, Default)]
 pub struct Shared {
     /// Number of the newest configuration.
     pub newest: AtomicU64,
-    /// Whether they are to stop.
+    /// Whether the clients stop.
     pub stop: AtomicBool,
-    /// What they have seen.
+    /// Requests that have ended.
     pub records: Mutex<Vec<Record>>,
 }
 
-/// Key of the team in the configuration with that number.
+/// Returns the key of the team in the configuration with a number.
 pub fn key(number: u64) -> String {
     format!("key-{number}")
 }
 
-/// Sends requests until it is told to stop.
+/// Sends requests until [`Shared::stop`] is set.
 pub async fn run(
     shared: Arc<Shared>,
     gateways: Vec<std::net::SocketAddr>,
@@ -159,38 +159,38 @@
     number: u32,
 ) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed ^ (u64::from(number) << 32));
-    let hasty = policy == Policy::Immediate || number.is_multiple_of(HASTY);
-    let mut kept: Option<(u8, Client)> = None;
+    let immediate = policy == Policy::Immediate || number.is_multiple_of(IMMEDIATE_INTERVAL);
+    let mut reusable: Option<(u8, Client)> = None;
     while !shared.stop.load(Ordering::Relaxed) {
-        let (gateway, client) = match kept.take() {
+        let (gateway, client) = match reusable.take() {
             Some((gateway, client)) if rng.random_bool(0.9) => (gateway, Some(client)),
             _ => {
                 let gateway = rng.random_range(0..gateways.len());
                 (gateway as u8, Client::connect(gateways[gateway]).await)
             }
         };
-        let (record, client) = one(&shared, &mut rng, gateway, client).await;
+        let (record, client) = send_one(&shared, &mut rng, gateway, client).await;
         let ended = !matches!(record.end, End::Answer { whole: true, .. });
-        kept = client.filter(|_| !ended).map(|client| (gateway, client));
+        reusable = client.filter(|_| !ended).map(|client| (gateway, client));
         if record.end == End::NoConnection {
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
-        if !hasty {
+        if !immediate {
             tokio::time::sleep(record.pause()).await;
         }
         shared.records.lock().expect("no holder of the records panics").push(record);
     }
 }
 
-/// Sends one request.
-async fn one(
+/// Sends one request. Returns its record and the connection.
+async fn send_one(
     shared: &Shared,
     rng: &mut ChaCha8Rng,
     gateway: u8,
     client: Option<Client>,
 ) -> (Record, Option<Client>) {
     let newest = shared.newest.load(Ordering::Relaxed);
-    // Now and then with the key of an earlier configuration.
+    // One request in ten may have the key of an earlier configuration.
     let back = if rng.random_ratio(1, 10) { rng.random_range(0..3) } else { 0 };
     let number = newest.saturating_sub(back).max(1);
     let (kind, request) = draw(rng);
@@ -199,7 +199,7 @@
     let (end, client) = match client {
         None => (End::NoConnection, None),
         Some(mut client) => {
-            let ended = tokio::time::timeout(GIVE_UP, ask(&mut client, &request)).await;
+            let ended = tokio::time::timeout(ANSWER_TIMEOUT, send(&mut client, &request)).await;
             (ended.unwrap_or(End::Silent), Some(client))
         }
     };
@@ -207,19 +207,20 @@
     (Record { id: request.id, kind, gateway, key: number, time, end }, client)
 }
 
-async fn ask(client: &mut Client, request: &Request) -> End {
+/// Sends a request and reads its answer.
+async fn send(client: &mut Client, request: &Request) -> End {
     let Some(response) = client.send(request).await else { return End::Closed };
     let head = Head::of(&response);
     let (body, whole) = client::read(response).await;
     End::Answer { head, body, whole }
 }
 
-/// Body of the request under which servers end, of that caller.
+/// Returns the body of a caller's request that ends servers.
 pub fn poison_body(caller: u8) -> String {
     format!("poison {caller}")
 }
 
-/// Asks a gateway once for what ends the server that runs it.
+/// Sends a gateway one request that ends the server on which it runs.
 pub async fn poison(gateway: std::net::SocketAddr, caller: u8, rank: bool, key: String) {
     let request = if rank {
         Request::new("/draft/poison").with("x-standin-events", "200")
@@ -228,12 +229,13 @@
     };
     let request = request.with("x-standin-end-ms", "40").body(&poison_body(caller));
     let request = request.key(&key).deadline(DEADLINE);
-    // What the caller sees does not matter: servers tell what reached them.
+    // The result is ignored: the servers record the requests that reach them.
     if let Some(mut client) = Client::connect(gateway).await {
-        tokio::time::timeout(GIVE_UP, ask(&mut client, &request)).await.ok();
+        tokio::time::timeout(ANSWER_TIMEOUT, send(&mut client, &request)).await.ok();
     }
 }
 
+/// Draws a request, with a fault of the backend server for some.
 fn draw(rng: &mut ChaCha8Rng) -> (Kind, Request) {
     let (kind, request) = match rng.random_range(0..10) {
         0..4 => (Kind::Receipt, Request::new("/receipt/soak")),
@@ -245,7 +247,7 @@
         }
     };
     let request = request.deadline(DEADLINE);
-    // What backend servers do wrong.
+    // Faults of the backend server.
     let request = match (rng.random_range(0..25), kind) {
         (0, Kind::Draft(events)) => {
             request.with("x-standin-break", &rng.random_range(1..=events).to_string())
--- a/soak/src/inject.rs
+++ b/soak/src/inject.rs
@@ -1,4 +1,4 @@
-//! Carries faults out.
+//! Injects faults into a running system.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::Ordering;
@@ -9,58 +9,60 @@
 use crate::client;
 use crate::plan::{Event, Fault, Harm, Link, Process, Store};
 
-/// Longest time that a planned stop may take: the time that the settings give,
-/// and some for a machine that is busy.
-const STOP_TIME: Duration = Duration::from_secs(14);
+/// Maximum duration of a planned stop: the time that the settings allow, and some more because the
+/// machine may be busy.
+const STOP_TIMEOUT: Duration = Duration::from_secs(14);
 
-/// First start that an entry tells, Unix milliseconds; later ones are higher.
+/// Time of the first start in the entries of servers, in Unix milliseconds. Later starts have
+/// higher values.
 const FIRST_START: u64 = 1_764_720_000_000;
 
-/// Time for which the store is away before it comes back from a copy.
-const AWAY: Duration = Duration::from_millis(400);
+/// Downtime of the store before it restarts from a copy.
+const STORE_DOWNTIME: Duration = Duration::from_millis(400);
 
-/// Time in which all gateways open their watches again after a change.
+/// Time within which all gateways reopen their watches after a change.
 const REOPEN_TIME: Duration = Duration::from_millis(500);
 
-/// A span in which something was done to a process.
+/// Duration of a fault of a process.
 #[derive(Debug, Clone, Copy)]
 pub struct Span {
     /// The process.
     pub process: Process,
-    /// From when to when.
+    /// Start and end.
     pub time: (Instant, Instant),
-    /// Whether it was a planned stop or a reload and nothing worse.
+    /// Whether the fault was only a planned stop.
     pub planned: bool,
 }
 
-/// What is being done to the processes.
+/// Injects the events of a plan, and records the faults.
 pub struct Injector<'a> {
     system: &'a mut System,
     shared: &'a client::Shared,
-    /// Servers whose links are being harmed, since when.
+    /// Servers whose links have a fault, with its start.
     harmed: BTreeMap<String, Instant>,
-    /// Times in which the links of servers were harmed.
+    /// Past faults of the links of servers, with their start and end.
     pub harms: Vec<(String, (Instant, Instant))>,
-    /// Processes that were told of changed settings, since when.
+    /// Processes to which a reload signal was sent, with the time.
     reloaded: BTreeMap<Process, Instant>,
-    /// Processes that something is being done to, since when, and whether it is planned.
+    /// Processes that have a fault, with its start and whether it is a planned stop.
     busy: BTreeMap<Process, (Instant, bool)>,
-    /// What was done.
+    /// Past faults of processes.
     pub spans: Vec<Span>,
-    /// Planned stops that took too long.
+    /// Processes that did not exit in time after a planned stop.
     pub overdue: Vec<Process>,
     /// Whether the group is broken.
     broken: bool,
-    /// When servers that started again did so, by their ids, Unix milliseconds.
+    /// Last start of each restarted server by its id, in Unix milliseconds.
     starts: BTreeMap<String, u64>,
-    /// Callers of requests that end their servers.
+    /// Callers whose requests end servers.
     callers: tokio::task::JoinSet<()>,
-    /// Ends in each group, and of plain servers, whose new start is listed.
+    /// Number of ends in each group, and of plain servers, after which the new start was written to
+    /// the entry.
     relisted: BTreeMap<Option<u8>, usize>,
 }
 
 impl<'a> Injector<'a> {
-    /// An injector for a system in which nothing is wrong.
+    /// Returns an injector for a system without faults.
     pub fn new(system: &'a mut System, shared: &'a client::Shared) -> Injector<'a> {
         Injector {
             system,
@@ -78,7 +80,7 @@
         }
     }
 
-    /// Carries the events out, each at its time, and ends what has not ended.
+    /// Begins and ends each event at its time, and then ends the faults that are left.
     pub async fn run(&mut self, events: &[Event]) {
         let start = Instant::now();
         let mut ends: Vec<(Duration, Fault)> = Vec::new();
@@ -89,7 +91,7 @@
             let end = ends.first().map(|(at, _)| *at);
             let Some(at) = begin.into_iter().chain(end).min() else { break };
             tokio::time::sleep_until((start + at).into()).await;
-            self.revive();
+            self.restart_hung_up();
             if end == Some(at) {
                 let (_, fault) = ends.remove(0);
                 self.end(fault).await;
@@ -100,10 +102,10 @@
                 ends.push((event.at + event.lasts, event.fault));
             }
         }
-        self.calm().await;
+        self.end_all().await;
     }
 
-    /// Begins a fault; returns whether it is to be ended.
+    /// Begins a fault. Returns whether it must be ended later.
     async fn begin(&mut self, fault: Fault) -> bool {
         match fault {
             Fault::Kill(process) | Fault::Pause(process) | Fault::Stop(process) => {
@@ -124,7 +126,7 @@
                     return false;
                 }
                 self.busy.insert(process, (Instant::now(), false));
-                self.harm(server_name(true, rank));
+                self.begin_harm(server_name(true, rank));
                 self.process(process).signal(libc::SIGSTOP);
                 self.system.link(&server_name(true, rank), "freeze").await;
             }
@@ -136,17 +138,17 @@
                 return false;
             }
             Fault::Server { rank, number, harm } => {
-                self.harm(server_name(rank, number));
+                self.begin_harm(server_name(rank, number));
                 self.system.link(&server_name(rank, number), &harm.text()).await;
             }
             Fault::StoreLink { gateway, harm } => {
                 self.system.link(&format!("store-gateway-{gateway}"), &harm.text()).await;
             }
             Fault::Silence(link) => {
-                // What is under way at that time is lost or late, and nothing later.
-                self.harm(link.target());
+                // Only requests in flight at this time are lost or delayed.
+                self.begin_harm(link.target());
                 self.system.link(&link.target(), "silence").await;
-                self.unharm(&link.target());
+                self.end_harm(&link.target());
                 return false;
             }
             Fault::Store(store) => return self.harm_store(store).await,
@@ -172,8 +174,9 @@
             }
             Fault::Foreign => self.write_foreign().await,
             Fault::Spoil(number) => {
-                let spoilt = serde_json::json!({ "service": SMS, "state": "ready", "slots": "12" });
-                self.system.put(&format!("servers/plain-{number}"), &spoilt).await;
+                let invalid =
+                    serde_json::json!({ "service": SMS, "state": "ready", "slots": "12" });
+                self.system.put(&format!("servers/plain-{number}"), &invalid).await;
             }
             Fault::Poison { caller, gateway, rank } => {
                 self.relist().await;
@@ -189,7 +192,7 @@
                 self.shed(rank, number, each, rest).await;
             }
             Fault::Limit { rank, number, rate } => self.limit(rank, number, rate).await,
-            Fault::Leave(number) => self.say_leaving(number, true).await,
+            Fault::Leave(number) => self.announce_leaving(number, true).await,
         }
         true
     }
@@ -201,7 +204,8 @@
             Store::Slow => self.system.store_control("fault/slow").await,
             Store::LoseWrite => self.system.store_control("fault/lose-write").await,
             Store::Compact => self.system.store_control("compact").await,
-            // All gateways reach the store through the proxy, from one address.
+            // All gateways connect to the store through the proxy, and so from one address.
+            // Therefore the proxy resets the connections of the one gateway.
             Store::Deny(gateway) => {
                 self.system.link(&format!("store-gateway-{gateway}"), "reset").await;
             }
@@ -214,19 +218,19 @@
             Fault::Kill(process) => self.restart(process),
             Fault::Pause(process) => {
                 self.process(process).signal(libc::SIGCONT);
-                self.done(process);
+                self.finish(process);
             }
             Fault::Stop(process) => self.await_stop(process).await,
             Fault::Freeze(rank) => {
                 let process = Process::Sidecar(rank);
                 self.process(process).signal(libc::SIGCONT);
                 self.system.link(&server_name(true, rank), "none").await;
-                self.unharm(&server_name(true, rank));
-                self.done(process);
+                self.end_harm(&server_name(true, rank));
+                self.finish(process);
             }
             Fault::Server { rank, number, .. } => {
                 self.system.link(&server_name(rank, number), "none").await;
-                self.unharm(&server_name(rank, number));
+                self.end_harm(&server_name(rank, number));
             }
             Fault::Shed { rank, number, .. } => self.shed(rank, number, 0, "").await,
             Fault::Limit { rank, number, .. } => self.limit(rank, number, "").await,
@@ -235,7 +239,7 @@
                 self.system.link(&format!("store-gateway-{gateway}"), "none").await;
             }
             Fault::Store(_) => self.system.store_control("fault/none").await,
-            Fault::Lose => self.system.lose(AWAY).await,
+            Fault::Lose => self.system.lose(STORE_DOWNTIME).await,
             Fault::Orders => self.system.group_control("/orders").await,
             Fault::Break if self.broken => self.mend().await,
             Fault::Drain(number) | Fault::Unlist(number) | Fault::Spoil(number) => {
@@ -256,46 +260,46 @@
         }
     }
 
-    /// Has a server shed requests; none where `each` is zero.
+    /// Makes a server shed requests. It sheds none if `each` is zero.
     async fn shed(&mut self, rank: bool, number: u8, each: u8, rest: &str) {
         let server = server_name(rank, number);
         let what = format!("/shed?server={server}&each={each}&rest={rest}");
         self.system.servers_control(self.group(rank, number), &what).await;
     }
 
-    /// Has a server name a rate limit; none where it is empty.
+    /// Makes a server announce a rate limit. It announces none if `rate` is empty.
     async fn limit(&mut self, rank: bool, number: u8, rate: &str) {
         let what = format!("/limit?server={}&rate={rate}", server_name(rank, number));
         self.system.servers_control(self.group(rank, number), &what).await;
     }
 
-    /// Has a plain server say that it leaves, or begin another run.
-    async fn say_leaving(&mut self, number: u8, on: bool) {
+    /// Makes a plain server announce that it is leaving, or begin another run.
+    async fn announce_leaving(&mut self, number: u8, on: bool) {
         let server = server_name(false, number);
         let what = format!("/leave?server={server}&on={}", u8::from(on));
         self.system.servers_control(None, &what).await;
     }
 
-    /// The lock-step group of a rank; none of a plain server.
+    /// Returns the lock-step group of a rank, or `None` for a plain server.
     fn group(&self, rank: bool, number: u8) -> Option<u8> {
         let plan = &self.system.plan;
         rank.then(|| number / plan.ranks.div_ceil(plan.groups))
     }
 
-    fn harm(&mut self, server: String) {
+    fn begin_harm(&mut self, server: String) {
         self.harmed.entry(server).or_insert_with(Instant::now);
     }
 
-    fn unharm(&mut self, server: &str) {
+    fn end_harm(&mut self, server: &str) {
         if let Some(since) = self.harmed.remove(server) {
             self.harms.push((server.to_owned(), (since, Instant::now())));
         }
     }
 
-    /// Starts processes again, as the platform does, that a hangup ended: one that
-    /// comes before a process has begun to receive signals does so. A process
-    /// that ends in any other way stays away, which the checks in the end show.
-    fn revive(&mut self) {
+    /// Restarts processes that the reload signal (SIGHUP) ended, as the platform does. The signal
+    /// ends a process that has not installed its signal handlers yet. A process that exits for any
+    /// other reason is not restarted, and the checks at the end of the run detect it.
+    fn restart_hung_up(&mut self) {
         let reloaded: Vec<(Process, Instant)> =
             self.reloaded.iter().map(|(process, since)| (*process, *since)).collect();
         for (process, since) in reloaded {
@@ -307,8 +311,8 @@
         }
     }
 
-    /// Lets all gateways lose their watches at once: the store is silent when they open their
-    /// watches again after a configuration, and what is open to it falls silent.
+    /// Makes all gateways lose their watches at once. The store does not answer when they reopen
+    /// their watches after a new configuration, and open connections to it are silenced.
     async fn lose_watches(&mut self) {
         self.configure().await;
         self.system.store_control("fault/silent").await;
@@ -318,11 +322,11 @@
         }
     }
 
-    /// Ends whatever was not ended, so that all is well again, with one more fault
-    /// before the configuration that is to be in force in time.
-    async fn calm(&mut self) {
+    /// Ends all faults that have not ended. Injects one more fault before the last configuration,
+    /// which all gateways must apply in time.
+    async fn end_all(&mut self) {
         while self.callers.join_next().await.is_some() {}
-        self.revive();
+        self.restart_hung_up();
         self.relist().await;
         self.system.link("*", "none").await;
         self.lose_watches().await;
@@ -342,7 +346,7 @@
 
     async fn configure(&mut self) {
         let number = self.shared.newest.load(Ordering::Relaxed) + 1;
-        // The one before is still taken, so that clients are not all refused.
+        // The previous key stays valid, so that not all clients are rejected.
         let keys = [client::key(number), client::key(number - 1)];
         let keys: Vec<&str> = keys.iter().map(String::as_str).collect();
         self.system.configure(number, &keys).await;
@@ -366,19 +370,19 @@
         *born += 1;
         let born = *born;
         let address = self.system.plain_address(number);
-        // What its earlier run asked for is over before anybody hears of the new one.
-        self.say_leaving(number, false).await;
+        // The notices of the earlier run end before any process receives the entry of the new run.
+        self.announce_leaving(number, false).await;
         self.system.link(&id, "reset").await;
         self.system.list_run(&id, SMS, address, born).await;
         self.system.link(&server_name(false, number), "none").await;
     }
 
-    /// Writes the entries of servers that ended under a request and are back.
+    /// Writes the entries of servers that ended under a request and have restarted.
     async fn relist(&mut self) {
         for group in (0..self.system.plan.groups).map(Some).chain([None]) {
             let ends = self.system.ends(group).await;
-            let seen = std::mem::replace(self.relisted.entry(group).or_default(), ends.len());
-            for end in &ends[seen..] {
+            let listed = std::mem::replace(self.relisted.entry(group).or_default(), ends.len());
+            for end in &ends[listed..] {
                 let id = end["server"].as_str().expect("an end names its server");
                 let born = self.starts.entry(id.to_owned()).or_insert(FIRST_START);
                 *born += 1;
@@ -400,9 +404,9 @@
         }
     }
 
-    /// Waits for the end of a planned stop, and starts the process again.
+    /// Waits until a process exits after a planned stop, and restarts it.
     async fn await_stop(&mut self, process: Process) {
-        let end = Instant::now() + STOP_TIME;
+        let end = Instant::now() + STOP_TIMEOUT;
         while !self.process(process).ended() {
             if Instant::now() > end {
                 self.overdue.push(process);
@@ -419,18 +423,19 @@
             Process::Gateway(number) => self.system.start_gateway(number),
             Process::Sidecar(rank) => self.system.start_sidecar(rank),
         }
-        self.done(process);
+        self.finish(process);
     }
 
-    fn done(&mut self, process: Process) {
+    /// Records the end of the fault of a process.
+    fn finish(&mut self, process: Process) {
         if let Some((since, planned)) = self.busy.remove(&process) {
             self.spans.push(Span { process, time: (since, Instant::now()), planned });
         }
     }
 }
 
-/// Writes the entries of all plain servers with the times of their starts, so that
-/// each later start is another run.
+/// Writes the entries of all plain servers with the times of their starts, so that each later start
+/// counts as another run.
 pub async fn write_starts(system: &System) {
     for number in 0..system.plan.plain {
         let (id, address) = (server_name(false, number), system.plain_address(number));
@@ -438,22 +443,22 @@
     }
 }
 
-/// Entries of another writer. Each names the plain service or the group, at an
-/// address where nobody listens, and none is whole.
+/// Returns entries of another writer. Each one belongs to the plain service or the group, has an
+/// address on which no process listens, and is invalid.
 fn foreign() -> Vec<serde_json::Value> {
     use serde_json::json;
-    let whole = json!({
+    let valid = json!({
         "service": SMS, "address": "127.0.0.1:9", "zone": "norte", "version": "v1",
         "slots": 12, "state": "ready", "cold_left_ms": 0, "seq": 1,
     });
     let with = |field: &str, value: serde_json::Value| {
-        let mut entry = whole.clone();
+        let mut entry = valid.clone();
         entry[field] = value;
         entry
     };
     vec![
         json!(null),
-        json!([whole.clone()]),
+        json!([valid.clone()]),
         json!({ "service": SMS, "address": "127.0.0.1:9" }),
         json!("x".repeat(100_000)),
         with("state", json!("cordoned")),
@@ -465,7 +470,7 @@
 }
 
 impl Link {
-    /// The proxy's target.
+    /// Returns the proxy's name of the target.
     fn target(self) -> String {
         match self {
             Link::Store(Process::Gateway(number)) => format!("store-gateway-{number}"),
@@ -478,7 +483,7 @@
 }
 
 impl Harm {
-    /// The proxy's word for it.
+    /// Returns the proxy's name of the fault.
     fn text(self) -> String {
         match self {
             Harm::Cut => "cut".to_owned(),
--- a/soak/src/lib.rs
+++ b/soak/src/lib.rs
@@ -1,10 +1,12 @@
-//! A fault soak: the real programs as separate processes on one machine, under
-//! faults from outside them that a seed decides.
+//! Soak test with injected faults. The real programs run as separate processes on one machine. A
+//! seed determines the faults, which are injected from outside of the processes.
+//!
+//! - [`plan`] draws the faults, which occur in series and overlap.
+//! - [`inject`] injects them into a [`loftcove_tests::system::System`].
+//! - [`client`] sends requests over persistent connections meanwhile.
+//! - [`check`] compares the records of clients and backend servers with the guarantees.
+//! - [`run`] combines these into one run of a seed.
 //!
-//! [`plan`] draws the faults, which come in series and overlap; [`inject`]
-//! carries them out on a [`loftcove_tests::system::System`]; [`client`] sends
-//! requests over kept connections meanwhile; [`check`] holds what clients and
-//! backend servers saw against what is promised; [`run`] ties them together.
 //! See `docs/SOAK.md`.
 
 pub mod check;
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -1,4 +1,4 @@
-//! Plays seeds of the fault soak and prints a line for each; see [`HELP`].
+//! Runs seeds of the soak test and prints one line for each; see [`HELP`].
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -7,49 +7,48 @@
 use loftcove_soak::{client, plan, run};
 
 const HELP: &str = "\
-loftcove-soak, the fault soak
+loftcove-soak, the soak test with injected faults
 
 usage:
   loftcove-soak [options]
 
 options:
-  --seed N          play this seed; without it, fresh ones
-  --runs N          how many seeds, one after the other (1)
-  --seconds N       time for which faults come (10)
-  --gateways N      gateways (3)
-  --ranks N         ranks of lock-step groups (4)
-  --plain N         plain servers (3)
-  --clients N       clients (12)
+  --seed N          run this seed; the default is random seeds
+  --runs N          number of seeds, run one after the other (1)
+  --seconds N       time during which faults are injected (10)
+  --gateways N      number of gateways (3)
+  --ranks N         number of ranks of lock-step groups (4)
+  --plain N         number of plain servers (3)
+  --clients N       number of clients (12)
   --faults KIND,..  only faults of these kinds
-  --times N         with --faults: so many times as often (1)
-  --without KIND,.. all faults but those of these kinds
-  --callers RULES   patient: most wait for Retry-After; immediate: none does (patient)
-  --keep FOLDER     write faults, breaches and logs of seeds that broke a promise there
-                    (soak-failures)
-  --keep-all        the same of all seeds
+  --times N         with --faults: multiplies how often they occur (1)
+  --without KIND,.. all faults except those of these kinds
+  --callers POLICY  patient: most wait for Retry-After; immediate: none does (patient)
+  --keep FOLDER     folder for faults, breaches and logs of seeds with a breach (soak-failures)
+  --keep-all        write them for all seeds
 
-Ends with 1 if a promise was broken, with 2 if it could not run.
+Exits with 1 if a guarantee was broken, and with 2 if the soak test could not run.
 ";
 
-/// Why it could not run.
+/// Reason for which the soak test could not run.
 #[derive(Debug, thiserror::Error)]
 enum Error {
-    /// The command line is not understood.
+    /// The command line is invalid.
     #[error("{0}")]
     Arguments(#[from] pico_args::Error),
-    /// An argument that there is not.
+    /// The argument does not exist.
     #[error("unknown argument {0}")]
     Unknown(String),
     /// Logs could not be written.
-    #[error("logs cannot be written: {0}")]
+    #[error("cannot write logs: {0}")]
     Logs(#[from] std::io::Error),
 }
 
-/// Which faults of a seed are played.
+/// Selects the faults of a seed that are injected.
 enum Faults {
-    /// Those of some kinds, so many times as often.
+    /// Only the faults of some kinds, and the factor by which they occur more often.
     Only(Vec<String>, u32),
-    /// All but those of some kinds.
+    /// All faults except those of some kinds.
     Without(Vec<String>),
 }
 
@@ -71,7 +70,7 @@
     }
 }
 
-fn options(mut arguments: pico_args::Arguments) -> Result<Options, Error> {
+fn parse_options(mut arguments: pico_args::Arguments) -> Result<Options, Error> {
     let seed: Option<u64> = arguments.opt_value_from_str("--seed")?;
     let runs: usize = arguments.opt_value_from_str("--runs")?.unwrap_or(1);
     let seconds: u64 = arguments.opt_value_from_str("--seconds")?.unwrap_or(10);
@@ -88,8 +87,8 @@
     let keep = keep.unwrap_or_else(|| PathBuf::from("soak-failures"));
     let callers = arguments.opt_value_from_str("--callers")?.unwrap_or_default();
     let times = arguments.opt_value_from_str("--times")?.unwrap_or(1);
-    let only = kinds(&mut arguments, "--faults")?;
-    let without = kinds(&mut arguments, "--without")?;
+    let only = parse_kinds(&mut arguments, "--faults")?;
+    let without = parse_kinds(&mut arguments, "--without")?;
     let faults = match only {
         Some(only) => Faults::Only(only, times),
         None => Faults::Without(without.unwrap_or_default()),
@@ -101,14 +100,14 @@
     }
     let seeds = match seed {
         Some(seed) => vec![seed],
-        // Short enough to be copied by hand.
+        // 32 bits, so that a seed is short enough to be copied by hand.
         None => (0..runs).map(|_| u64::from(rand::random::<u32>())).collect(),
     };
     Ok(Options { seeds, size, faults, callers, keep, keep_all })
 }
 
-/// The kinds of faults that an option names.
-fn kinds(
+/// Returns the kinds of faults that an option lists.
+fn parse_kinds(
     arguments: &mut pico_args::Arguments,
     option: &'static str,
 ) -> Result<Option<Vec<String>>, Error> {
@@ -122,8 +121,8 @@
         print!("{HELP}");
         return Ok(true);
     }
-    let options = options(arguments)?;
-    let mut sound = true;
+    let options = parse_options(arguments)?;
+    let mut passed = true;
     for &seed in &options.seeds {
         let events = options.events(seed);
         let report = run::play(seed, &options.size, options.callers, events).await;
@@ -141,14 +140,14 @@
         );
         report.breaches.iter().take(10).for_each(|breach| println!("  {breach}"));
         let broken = !report.breaches.is_empty();
-        sound &= !broken;
+        passed &= !broken;
         if broken || options.keep_all {
             let folder = options.keep.join(format!("seed-{seed}-{}", std::process::id()));
             report.save(&folder)?;
             println!("  kept in {}", folder.display());
         }
     }
-    Ok(sound)
+    Ok(passed)
 }
 
 #[tokio::main]
--- a/soak/src/plan.rs
+++ b/soak/src/plan.rs
@@ -1,4 +1,4 @@
-//! Which faults come when, drawn from a seed.
+//! Draws the faults and their times from a seed.
 
 use std::time::Duration;
 
@@ -6,76 +6,74 @@
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::SeedableRng as _;
 
-/// Longest pause between the beginnings of two faults; they last longer than
-/// that, so that several are there at a time.
-const LONGEST_PAUSE_MS: u64 = 900;
-/// Shortest and longest time that a fault lasts.
-const LASTS_MS: std::ops::Range<u64> = 200..3_500;
-/// Time between two silences, on average.
+/// Maximum time between the starts of two faults. Most faults last longer, so that several overlap.
+const MAX_INTERVAL_MS: u64 = 900;
+/// Range of the duration of a fault.
+const DURATION_MS: std::ops::Range<u64> = 200..3_500;
+/// Mean time between two silences of a link or the store.
 const SILENCE_INTERVAL: Duration = Duration::from_millis(1_500);
-/// What the seed of silences differs by. They are drawn beside the other faults,
-/// so that seeds that were kept before there were silences still mean the same.
+/// Value that is XORed with the seed for silences. They are drawn from a separate generator, so
+/// that older seeds still draw the same other faults as before silences were added.
 const SILENCE_SEED: u64 = 0x51;
-/// Time between two strange or new entries, on average.
+/// Mean time between two invalid or new entries.
 const ENTRY_INTERVAL: Duration = Duration::from_millis(2_000);
-/// The same for entries as [`SILENCE_SEED`] for silences.
+/// Value like [`SILENCE_SEED`] for entries.
 const ENTRY_SEED: u64 = 0xe7;
-/// Time between two callers of a request that ends its servers, on average.
+/// Mean time between two callers whose request ends servers.
 const POISON_INTERVAL: Duration = Duration::from_millis(4_000);
-/// The same for these callers as [`SILENCE_SEED`] for silences.
+/// Value like [`SILENCE_SEED`] for these callers.
 const POISON_SEED: u64 = 0xde;
-/// Times that such a caller asks, and the time between two: servers that ended
-/// are back after that, and their entries tell a new start.
+/// Number of requests of such a caller. [`POISON_PAUSE`] is the time between two of them: by then,
+/// servers that ended have restarted, and their entries have the new start.
 pub const POISON_TRIES: u32 = 9;
-/// See [`POISON_TRIES`].
+/// Time between two requests of a caller; see [`POISON_TRIES`].
 const POISON_PAUSE: Duration = Duration::from_millis(850);
 
-/// Time between two servers that ask for rest or say that they leave, on average.
+/// Mean time between two servers that request rest or announce that they are leaving.
 const NOTICE_INTERVAL: Duration = Duration::from_millis(1_200);
-/// The same for these servers as [`SILENCE_SEED`] for silences.
+/// Value like [`SILENCE_SEED`] for these notices.
 const NOTICE_SEED: u64 = 0xb5;
-/// What servers that shed requests ask for: seconds, nonsense, nothing. Some
-/// rests outlast the fault, none the time until all is well again.
+/// Rests that servers request when they shed requests: seconds, an invalid value, or none. Some
+/// rests outlast the fault, but none outlasts the time until the system must have recovered.
 const RESTS: [&str; 8] = ["0.2", "0.7", "1.5", "2", "3", "8", "soon", ""];
 
-/// Time between two servers that name a rate limit, on average.
+/// Mean time between two servers that announce a rate limit.
 const LIMIT_INTERVAL: Duration = Duration::from_millis(2_500);
-/// The same for these servers as [`SILENCE_SEED`] for silences.
+/// Value like [`SILENCE_SEED`] for these limits.
 const LIMIT_SEED: u64 = 0x17;
-/// Shortest and longest time for which they name it: gateways have three seconds, and what
-/// comes within four is counted.
-const LIMIT_LASTS_MS: std::ops::Range<u64> = 3_500..9_000;
-/// What they name: requests a second, nonsense.
+/// Range of the time for which a server announces its limit. Gateways must apply the limit within
+/// three seconds, and requests are counted over four seconds.
+const LIMIT_DURATION_MS: std::ops::Range<u64> = 3_500..9_000;
+/// Limits that servers announce: requests per second, or an invalid value.
 const LIMITS: [&str; 8] = ["0.2", "1", "1", "3", "10", "0", "1e9", "soon"];
 
-/// Time between two losses of a part of the store's history, on average, and how far back
-/// the copy is that it comes back from.
+/// Mean time between two losses of a part of the store's history.
 const LOSS_INTERVAL: Duration = Duration::from_millis(5_000);
-/// See [`LOSS_INTERVAL`].
+/// Range of the age of the copy from which the store restarts, which is the history that is lost.
 const LOSS_MS: std::ops::Range<u64> = 300..3_000;
-/// The same for losses as [`SILENCE_SEED`] for silences.
+/// Value like [`SILENCE_SEED`] for losses.
 const LOSS_SEED: u64 = 0x3a;
 
-/// Where the number of a layer stands in its seed: above the bits of seeds drawn by
-/// the command line, and of what the layers of one seed differ by.
+/// Position of the layer number in the seed of a layer. It is above the bits of the seeds that the
+/// command line draws, and above those of the XORed values such as [`SILENCE_SEED`].
 const LAYER_SHIFT: u32 = 40;
 
-/// What runs.
+/// Size of the system, and the time for which faults are injected.
 #[derive(Debug, Clone, Copy)]
 pub struct Size {
-    /// Gateways.
+    /// Number of gateways.
     pub gateways: u8,
-    /// Ranks of the group, each with a sidecar.
+    /// Number of ranks of lock-step groups, each with a sidecar.
     pub ranks: u8,
-    /// Plain servers.
+    /// Number of plain servers.
     pub plain: u8,
-    /// Clients.
+    /// Number of clients.
     pub clients: u32,
-    /// Time for which faults come.
+    /// Time for which faults are injected.
     pub time: Duration,
 }
 
-/// One of our processes.
+/// A process of loftcove.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Process {
     /// A gateway by its number.
@@ -84,142 +82,141 @@
     Sidecar(u8),
 }
 
-/// What the proxy does to a link.
+/// Fault of a link, which the proxy injects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Harm {
     /// Closes connections.
     Cut,
-    /// Resets them.
+    /// Resets connections.
     Reset,
-    /// Silences them both ways.
+    /// Holds the data of both directions until the fault ends.
     Silence,
-    /// Silences one way: answers are lost.
+    /// Drops the answers.
     LoseAnswers,
-    /// Delays each part by so many milliseconds.
+    /// Delays each part of the data by this number of milliseconds.
     Delay(u64),
 }
 
-/// Whose open connections fall silent.
+/// Link whose open connections are silenced.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Link {
-    /// Those of a process to the store.
+    /// Connections of a process to the store.
     Store(Process),
-    /// Those of drivers to a sidecar, by its rank.
+    /// Connections of drivers to a sidecar, by its rank.
     Sidecar(u8),
-    /// Those to a rank's engine.
+    /// Connections to the engine of a rank.
     Rank(u8),
-    /// Those to a plain server.
+    /// Connections to a plain server.
     Plain(u8),
 }
 
-/// How the store misbehaves.
+/// Fault of the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Store {
-    /// It never answers the calls that come.
+    /// The store never answers the calls that arrive.
     Silent,
-    /// It refuses every call.
+    /// The store rejects every call.
     Down,
-    /// It takes long for every call.
+    /// The store answers every call slowly.
     Slow,
-    /// It does one write and loses the answer.
+    /// The store does one write and loses the answer.
     LoseWrite,
-    /// It forgets its history.
+    /// The store discards its history of changes.
     Compact,
-    /// It rejects the calls of one gateway.
+    /// The store rejects the calls of one gateway.
     Deny(u8),
 }
 
 /// A fault, or a change that an operator or a backend server makes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// A process is killed, and started again later.
+    /// A process is killed, and restarted later.
     Kill(Process),
-    /// A process stands still for a while.
+    /// A process is suspended for a while.
     Pause(Process),
-    /// A planned stop; the process is started again when it has ended.
+    /// A planned stop. The process is restarted after it has exited.
     Stop(Process),
-    /// A host freezes: a sidecar stands still, and nobody reaches its engine.
+    /// A host freezes: its sidecar is suspended, and its engine is unreachable.
     Freeze(u8),
-    /// A process is told that its settings have changed.
+    /// A process receives the signal to reload its settings.
     Reload(Process),
-    /// Connections to a backend server are harmed: a rank, or a plain server.
+    /// Connections to a backend server have a fault.
     Server {
-        /// Whether it is a rank of the group.
+        /// Whether the server is a rank of the group, and not a plain server.
         rank: bool,
-        /// Its number.
+        /// Number of the server.
         number: u8,
-        /// What happens to the connections.
+        /// Fault of the connections.
         harm: Harm,
     },
-    /// Connections of one gateway to the store are harmed.
+    /// Connections of one gateway to the store have a fault.
     StoreLink {
-        /// The gateway.
+        /// Number of the gateway.
         gateway: u8,
-        /// What happens to the connections.
+        /// Fault of the connections.
         harm: Harm,
     },
-    /// The connections that are open fall silent for good; new ones work.
+    /// Data on open connections is dropped for good, and they stay open. New connections work.
     Silence(Link),
-    /// The store misbehaves.
+    /// The store has a fault.
     Store(Store),
-    /// A copy of the store is taken, from which it comes back.
+    /// A copy of the store is taken, from which the store restarts later.
     Lose,
-    /// Of the orders to engines, each so-and-so-many-th is lost or late.
+    /// Orders to engines are lost or delayed at fixed intervals.
     Orders,
-    /// The group breaks, and forms anew.
+    /// The group breaks, and forms again.
     Break,
     /// Demand shifts to other experts.
     Shift(u16),
-    /// A configuration with another key of the team.
+    /// A new configuration with another key of the team is put in force.
     Configure,
-    /// A plain server says that it is leaving, and comes back.
+    /// The entry of a plain server is `draining`, and later `ready` again.
     Drain(u8),
-    /// A plain server's entry goes, and comes back.
+    /// The entry of a plain server is removed, and written again later.
     Unlist(u8),
-    /// A plain server starts again under its id, by its entry: its connections
-    /// are reset.
+    /// A plain server restarts under its id, by its entry. Its connections are reset.
     Restart(u8),
-    /// Another writer's entries come, and go.
+    /// Entries of another writer are added, and removed later.
     Foreign,
-    /// A caller asks a gateway for what ends the server that runs it.
+    /// A caller sends a gateway a request that ends the server on which it runs.
     Poison {
         /// Number of the caller.
         caller: u8,
-        /// Gateway that it asks this time.
+        /// Gateway to which it sends this request.
         gateway: u8,
-        /// Whether a rank runs it, and not a plain server.
+        /// Whether the request runs on a rank, and not on a plain server.
         rank: bool,
     },
-    /// A server sheds each so-and-so-many-th request, and asks for rest.
+    /// A server sheds every `each`-th request, and requests rest.
     Shed {
-        /// Whether it is a rank of the group.
+        /// Whether the server is a rank of the group, and not a plain server.
         rank: bool,
-        /// Its number.
+        /// Number of the server.
         number: u8,
-        /// Which requests it sheds.
+        /// Interval of the shed requests.
         each: u8,
-        /// What it asks for, as its header says it.
+        /// Value of the header that requests rest.
         rest: &'static str,
     },
-    /// A server names a rate limit in its answers.
+    /// A server announces a rate limit in its answers.
     Limit {
-        /// Whether it is a rank of the group.
+        /// Whether the server is a rank of the group, and not a plain server.
         rank: bool,
-        /// Its number.
+        /// Number of the server.
         number: u8,
-        /// The limit, as its header says it.
+        /// Value of the header with the limit.
         rate: &'static str,
     },
-    /// A plain server says in its answers that it leaves, which the store does not
-    /// tell; in the end it starts again.
+    /// A plain server announces in its answers that it is leaving, but not by its entry in the
+    /// store. At the end of the fault it restarts.
     Leave(u8),
-    /// Another writer spoils a plain server's entry, until the server writes it
-    /// again.
+    /// Another writer replaces the entry of a plain server by an invalid one, until the server
+    /// writes it again.
     Spoil(u8),
 }
 
 impl Fault {
-    /// Name of its kind, as the command line has it.
+    /// Returns the name of the kind, which the command line uses.
     pub fn name(&self) -> &'static str {
         match self {
             Fault::Kill(_) => "kill",
@@ -252,15 +249,15 @@
 /// A fault with its time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Event {
-    /// When it begins, from the start of the faults.
+    /// Time of its start, since the start of the faults.
     pub at: Duration,
-    /// How long it lasts.
+    /// Duration of the fault.
     pub lasts: Duration,
-    /// What it is.
+    /// The fault.
     pub fault: Fault,
 }
 
-/// The faults of a seed, in the order of their beginnings.
+/// Returns the faults of a seed in the order of their starts.
 pub fn draw(seed: u64, size: &Size) -> Vec<Event> {
     let mut events = faults(seed, size);
     events.extend(silences(seed, size));
@@ -273,8 +270,8 @@
     events
 }
 
-/// The faults of a seed that are of some kinds, by [`Fault::name`], so many times
-/// as often as in [`draw`].
+/// Returns the faults of a seed that are of some kinds, by [`Fault::name`], `times` times as often
+/// as in [`draw`].
 pub fn draw_kinds(seed: u64, size: &Size, kinds: &[String], times: u32) -> Vec<Event> {
     let seeds = (0..times).map(|layer| seed ^ (u64::from(layer) << LAYER_SHIFT));
     let mut events: Vec<Event> = seeds.flat_map(|seed| draw(seed, size)).collect();
@@ -283,8 +280,8 @@
     events
 }
 
-/// The faults of a seed without those of some kinds, by [`Fault::name`]: kinds that were
-/// added later are left out so that a seed is played as it once was.
+/// Returns the faults of a seed without those of some kinds, by [`Fault::name`]. If the kinds that
+/// were added later are excluded, an old seed has the same faults as when it was first run.
 pub fn draw_without(seed: u64, size: &Size, kinds: &[String]) -> Vec<Event> {
     let mut events = draw(seed, size);
     events.retain(|event| !kinds.iter().any(|kind| kind == event.fault.name()));
@@ -297,10 +294,10 @@
     let mut events = Vec::new();
     for _ in 0..count {
         let at = size.time.mul_f64(rng.random_range(0.0..1.0));
-        let lasts = Duration::from_millis(rng.random_range(LASTS_MS));
+        let lasts = Duration::from_millis(rng.random_range(DURATION_MS));
         let fault = silence(&mut rng, size);
         events.push(Event { at, lasts, fault });
-        // Right after a change all watches are opened again.
+        // Right after a new configuration all watches are reopened, while the store is silent.
         if fault == Fault::Store(Store::Silent) {
             events.push(Event { at, lasts, fault: Fault::Configure });
         }
@@ -314,7 +311,7 @@
     let mut events = Vec::new();
     for _ in 0..count {
         let at = size.time.mul_f64(rng.random_range(0.0..1.0));
-        let lasts = Duration::from_millis(rng.random_range(LASTS_MS));
+        let lasts = Duration::from_millis(rng.random_range(DURATION_MS));
         let number = rng.random_range(0..size.plain);
         let fault = match rng.random_range(0..3) {
             0 => Fault::Restart(number),
@@ -326,14 +323,14 @@
     events
 }
 
-/// Servers that say something of their own near future.
+/// Draws servers that request rest or announce that they are leaving.
 fn notices(seed: u64, size: &Size) -> Vec<Event> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed ^ NOTICE_SEED);
     let count = (size.time.as_secs_f64() / NOTICE_INTERVAL.as_secs_f64()).ceil() as usize;
     let mut events = Vec::new();
     for _ in 0..count {
         let at = size.time.mul_f64(rng.random_range(0.0..1.0));
-        let lasts = Duration::from_millis(rng.random_range(LASTS_MS));
+        let lasts = Duration::from_millis(rng.random_range(DURATION_MS));
         let rank = rng.random_bool(0.5);
         let number = rng.random_range(0..if rank { size.ranks } else { size.plain });
         let each = rng.random_range(1..5);
@@ -346,14 +343,14 @@
     events
 }
 
-/// Servers that name a rate limit.
+/// Draws servers that announce a rate limit.
 fn limits(seed: u64, size: &Size) -> Vec<Event> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed ^ LIMIT_SEED);
     let count = (size.time.as_secs_f64() / LIMIT_INTERVAL.as_secs_f64()).ceil() as usize;
     let mut events = Vec::new();
     for _ in 0..count {
         let at = size.time.mul_f64(rng.random_range(0.0..1.0));
-        let lasts = Duration::from_millis(rng.random_range(LIMIT_LASTS_MS));
+        let lasts = Duration::from_millis(rng.random_range(LIMIT_DURATION_MS));
         let rank = rng.random_bool(0.5);
         let number = rng.random_range(0..if rank { size.ranks } else { size.plain });
         let rate = LIMITS[rng.random_range(0..LIMITS.len())];
@@ -362,7 +359,7 @@
     events
 }
 
-/// Losses of a part of the store's history.
+/// Draws losses of a part of the store's history.
 fn losses(seed: u64, size: &Size) -> Vec<Event> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed ^ LOSS_SEED);
     let count = (size.time.as_secs_f64() / LOSS_INTERVAL.as_secs_f64()).ceil() as usize;
@@ -374,7 +371,7 @@
     (0..count).map(&mut event).collect()
 }
 
-/// Callers that ask the same at one gateway after the other.
+/// Draws callers that send the same request to one gateway after the other.
 fn poisons(seed: u64, size: &Size) -> Vec<Event> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed ^ POISON_SEED);
     let count = (size.time.as_secs_f64() / POISON_INTERVAL.as_secs_f64()).ceil() as u8;
@@ -407,14 +404,14 @@
     let mut events = Vec::new();
     let mut at = Duration::ZERO;
     loop {
-        at += Duration::from_millis(rng.random_range(0..LONGEST_PAUSE_MS));
+        at += Duration::from_millis(rng.random_range(0..MAX_INTERVAL_MS));
         if at >= size.time {
             return events;
         }
-        let lasts = Duration::from_millis(rng.random_range(LASTS_MS));
+        let lasts = Duration::from_millis(rng.random_range(DURATION_MS));
         let fault = fault(&mut rng, size);
         events.push(Event { at, lasts, fault });
-        // Series: the same kind again, at once.
+        // Series: the same fault again, while the first one lasts.
         if rng.random_ratio(1, 6) {
             let at = at + lasts / 3;
             events.push(Event { at, lasts, fault });
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -1,4 +1,4 @@
-//! One run of a seed.
+//! Runs one seed.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -14,42 +14,42 @@
 use crate::inject::Injector;
 use crate::{client, inject, plan};
 
-/// Longest time until all is well again after the faults. Leases of drivers and
-/// entries that were held back have run out by then.
-const RECOVERY: Duration = Duration::from_secs(30);
+/// Maximum time until the system has recovered after the faults. By then, the leases of drivers and
+/// the deferred entries have expired.
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What came of a run.
+/// Result of a run.
 #[derive(Debug)]
 pub struct Report {
-    /// The seed.
+    /// Seed of the run.
     pub seed: u64,
-    /// What ran.
+    /// Size of the system.
     pub size: plan::Size,
-    /// What the callers kept to.
+    /// Policy of the callers.
     pub callers: client::Policy,
-    /// Faults that were drawn.
+    /// Faults of the run.
     pub events: Vec<plan::Event>,
-    /// Requests that were sent, and how many of them were answered with success.
+    /// Number of requests that were sent, and of those that succeeded.
     pub requests: (usize, usize),
-    /// Requests that were refused as not run.
+    /// Number of requests that were rejected as not run.
     pub refused: usize,
-    /// All requests by how they ended.
+    /// Number of requests by their end.
     pub ends: BTreeMap<String, usize>,
-    /// Changes of the map, over all ranks.
+    /// Number of changes of the map, over all ranks.
     pub switches: u64,
-    /// Promises that were broken.
+    /// Broken guarantees.
     pub breaches: Vec<Breach>,
-    /// What the processes logged.
+    /// Logs of the processes.
     pub logs: Vec<(String, Vec<String>)>,
 }
 
-/// Lock-step groups of a seed's system: with odd seeds, two of two ranks or more.
+/// Returns the number of lock-step groups of a seed's system: two for odd seeds, if each has two
+/// ranks or more.
 fn groups(seed: u64, size: &plan::Size) -> u8 {
     if seed % 2 == 1 && size.ranks >= 4 { 2 } else { 1 }
 }
 
-/// Plays the requests of a seed, by callers that keep to the given rules, under the given
-/// faults.
+/// Runs a seed: starts a system, sends requests by callers with a policy, and injects the events.
 pub async fn play(
     seed: u64,
     size: &plan::Size,
@@ -78,8 +78,8 @@
     let mut injector = Injector::new(&mut system, &shared);
     injector.run(&events).await;
     let (spans, harms, overdue) = (injector.spans, injector.harms, injector.overdue);
-    let unforced = unforced(&system, &shared).await;
-    let unwell = recover(&system, &shared).await;
+    let not_applied = await_configuration(&system, &shared).await;
+    let failing = await_recovery(&system, &shared).await;
     shared.stop.store(true, Ordering::Relaxed);
     for client in clients {
         client.await.expect("no client panics");
@@ -102,9 +102,9 @@
         |name: &str| -> u64 { states.iter().map(|state| state[name].as_u64().unwrap_or(0)).sum() };
     let mut breaches = evidence.breaches();
     breaches.extend(overdue.into_iter().map(Breach::Overdue));
-    breaches.extend(unforced);
+    breaches.extend(not_applied);
     breaches.extend(poisoned);
-    breaches.extend(unwell.map(Breach::NotRecovered));
+    breaches.extend(failing.map(Breach::NotRecovered));
     if number("violations") > 0 {
         breaches.push(Breach::MixedMaps(number("violations")));
     }
@@ -116,11 +116,11 @@
 }
 
 impl Report {
-    /// Writes all that is needed to trace the run, or to play it again, to a folder.
+    /// Writes everything that is needed to analyze or repeat the run to a folder.
     ///
     /// # Errors
     ///
-    /// What the system said.
+    /// Returns the error of the operating system.
     pub fn save(&self, folder: &Path) -> std::io::Result<()> {
         let lines = |lines: Vec<String>| lines.join("\n");
         let run = format!(
@@ -140,7 +140,7 @@
     }
 }
 
-/// The commit that is played, where the soak runs in a clone.
+/// Returns the commit under test if the soak test runs in a clone, or the version of the package.
 fn version() -> String {
     let mut command = std::process::Command::new("git");
     command.args(["describe", "--always", "--dirty"]);
@@ -149,9 +149,9 @@
     text.unwrap_or_else(|| env!("CARGO_PKG_VERSION").to_owned())
 }
 
-/// Waits until every gateway goes by the newest configuration, which is written
-/// when the faults are over; tells of one that does not in time.
-async fn unforced(system: &System, shared: &client::Shared) -> Option<Breach> {
+/// Waits until every gateway has applied the newest configuration, which is written after the
+/// faults. Returns a breach for the first gateway that does not apply it in time.
+async fn await_configuration(system: &System, shared: &client::Shared) -> Option<Breach> {
     let newest = shared.newest.load(Ordering::Relaxed);
     let request = || Request::new("/alert/").key(&client::key(newest));
     let began = Instant::now();
@@ -167,20 +167,21 @@
     None
 }
 
-/// Waits until every gateway serves every kind of request with the newest key
-/// and the group is not held; says what does not work if that takes too long.
-async fn recover(system: &System, shared: &client::Shared) -> Option<String> {
-    let end = Instant::now() + RECOVERY;
+/// Waits until every gateway serves every kind of request with the newest key. A gateway cannot
+/// serve all of them while the group is held. Returns what still fails if that takes too long.
+async fn await_recovery(system: &System, shared: &client::Shared) -> Option<String> {
+    let end = Instant::now() + RECOVERY_TIMEOUT;
     loop {
-        let lacking = unwell(system, shared).await?;
+        let failing = failing_check(system, shared).await?;
         if Instant::now() > end {
-            return Some(lacking);
+            return Some(failing);
         }
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
 }
 
-async fn unwell(system: &System, shared: &client::Shared) -> Option<String> {
+/// Returns the first check that fails, or `None` if all gateways serve all kinds of requests.
+async fn failing_check(system: &System, shared: &client::Shared) -> Option<String> {
     let key = client::key(shared.newest.load(Ordering::Relaxed));
     for gateway in 0..system.plan.gateways {
         if !system.is_ready(gateway).await {
@@ -197,6 +198,7 @@
     None
 }
 
+/// Returns the requests that reached backend servers, by their id.
 async fn arrivals(system: &System) -> BTreeMap<String, Vec<Arrival>> {
     let mut by_id: BTreeMap<String, Vec<Arrival>> = BTreeMap::new();
     for arrival in system.all_arrivals().await {
@@ -206,7 +208,7 @@
     by_id
 }
 
-/// Requests that ended servers and reached too many after it.
+/// Returns a breach for each request that ended servers and then reached too many.
 async fn poisoned(system: &System) -> Vec<Breach> {
     let mut breaches = Vec::new();
     for group in (0..system.plan.groups).map(Some).chain([None]) {
--- a/soak/tests/seeds.rs
+++ b/soak/tests/seeds.rs
@@ -1,4 +1,4 @@
-//! A short soak of the seeds that are kept.
+//! Short soak test of the stored seeds. Each seed that ever failed is stored with its cause.
 
 #![allow(clippy::unwrap_used, reason = "a test that fails may panic")]
 
@@ -10,19 +10,18 @@
 const SIZE: plan::Size =
     plan::Size { gateways: 3, ranks: 4, plain: 3, clients: 12, time: Duration::from_secs(8) };
 
-/// A seed that is kept, with the size that it is played at, and what else differs from a
-/// play of today.
+/// A stored seed, with the size of its system and the options that differ from the defaults.
 #[derive(Debug, PartialEq)]
-struct Kept {
+struct Stored {
     seed: u64,
     size: (u8, u8, u8, u32, Duration),
     callers: client::Policy,
     without: Vec<String>,
 }
 
-impl Kept {
-    /// Reads `SEED [NAME=VALUE..] CAUSE`; a name is that of the command line's option.
-    fn read(line: &str) -> Kept {
+impl Stored {
+    /// Parses `SEED [NAME=VALUE..] CAUSE`, where the names are those of the command line's options.
+    fn parse(line: &str) -> Stored {
         let mut words = line.split_whitespace();
         let seed = words.next().unwrap().parse().unwrap();
         let mut size = SIZE;
@@ -40,7 +39,7 @@
             }
         }
         let size = (size.gateways, size.ranks, size.plain, size.clients, size.time);
-        Kept { seed, size, callers, without }
+        Stored { seed, size, callers, without }
     }
 
     fn size(&self) -> plan::Size {
@@ -49,48 +48,49 @@
     }
 }
 
-fn kept() -> Vec<Kept> {
+fn stored_seeds() -> Vec<Stored> {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/seeds.txt");
     let text = std::fs::read_to_string(path).unwrap();
-    text.lines().filter(|line| !line.starts_with('#')).map(Kept::read).collect()
+    text.lines().filter(|line| !line.starts_with('#')).map(Stored::parse).collect()
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn kept_seeds_break_no_promise() {
-    let kept = kept();
-    assert!(!kept.is_empty());
-    for kept in kept {
-        let events = plan::draw_without(kept.seed, &kept.size(), &kept.without);
-        let report = run::play(kept.seed, &kept.size(), kept.callers, events).await;
+async fn stored_seeds_have_no_breaches() {
+    let seeds = stored_seeds();
+    assert!(!seeds.is_empty());
+    for stored in seeds {
+        let events = plan::draw_without(stored.seed, &stored.size(), &stored.without);
+        let report = run::play(stored.seed, &stored.size(), stored.callers, events).await;
         if !report.breaches.is_empty() {
-            let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("seed-{}", kept.seed));
+            let folder =
+                Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("seed-{}", stored.seed));
             report.save(&folder).unwrap();
-            eprintln!("logs of seed {} are in {}", kept.seed, folder.display());
+            eprintln!("logs of seed {} are in {}", stored.seed, folder.display());
         }
         assert!(report.requests.1 > 100, "{:?} requests", report.requests);
-        assert_eq!(report.breaches, [], "seed {}: {:?}", kept.seed, report.events);
+        assert_eq!(report.breaches, [], "seed {}: {:?}", stored.seed, report.events);
     }
 }
 
 #[test]
-fn a_kept_seed_may_have_a_size_of_its_own() {
-    let kept = Kept::read("7 gateways=16 seconds=20 a cause with x=y in it");
+fn parses_the_size_of_a_stored_seed() {
+    let stored = Stored::parse("7 gateways=16 seconds=20 a cause with x=y in it");
     let size = (16, SIZE.ranks, SIZE.plain, SIZE.clients, Duration::from_secs(20));
     let (callers, without) = (client::Policy::Patient, Vec::new());
-    assert_eq!(kept, Kept { seed: 7, size, callers, without });
+    assert_eq!(stored, Stored { seed: 7, size, callers, without });
 }
 
 #[test]
-fn a_kept_seed_may_be_played_as_it_once_was() {
-    let kept = Kept::read("7 callers=immediate without=limit,lose a cause");
-    assert_eq!(kept.callers, client::Policy::Immediate);
-    let events = plan::draw_without(kept.seed, &kept.size(), &kept.without);
+fn excludes_the_kinds_of_faults_that_a_stored_seed_lists() {
+    let stored = Stored::parse("7 callers=immediate without=limit,lose a cause");
+    assert_eq!(stored.callers, client::Policy::Immediate);
+    let events = plan::draw_without(stored.seed, &stored.size(), &stored.without);
     let newer = ["limit", "lose"];
     assert!(!events.is_empty() && events.iter().all(|event| !newer.contains(&event.fault.name())));
 }
 
 #[test]
-fn a_seed_draws_the_same_faults_again() {
+fn draws_the_same_faults_for_the_same_seed() {
     assert_eq!(plan::draw(7, &SIZE), plan::draw(7, &SIZE));
     assert_ne!(plan::draw(7, &SIZE), plan::draw(8, &SIZE));
 }
