--- a/mirror/tests/ends.rs
+++ b/mirror/tests/ends.rs
@@ -13,7 +13,7 @@
 use loftcove_decision::{fleet, mirror};
 use loftcove_interface::store::Lease;
 use loftcove_mirror::{Mirror, Source, ends, follow};
-use loftcove_standins::calls::{Calls, Plan};
+use loftcove_standins::calls::{Plan, Recorder};
 use loftcove_standins::proxy::Proxy;
 
 use common::host;
@@ -123,12 +123,12 @@
 async fn items_arrive_within_the_bound_after_a_connection_falls_silent() {
     let (source, address) = host("norte").await;
     let proxy = Proxy::default();
-    let answer = proxy.obey(&format!("target host norte {address}")).await.unwrap();
+    let answer = proxy.execute(&format!("target host norte {address}")).await.unwrap();
     let mirror: Arc<Mirror> = Arc::default();
     follow(&mirror, answer.rsplit(' ').next().unwrap().parse().unwrap());
     source.ends.record_end(&run(1), poison(), false);
     wait_for_standing(&mirror, Standing::Suspect(1)).await;
-    proxy.obey("link * host silence").await.unwrap();
+    proxy.execute("link * host silence").await.unwrap();
     source.ends.record_end(&run(2), poison(), false);
     assert_eq!(wait_until_refused_by(&mirror).await, 2);
 }
@@ -137,14 +137,14 @@
 /// that follows no peer reads it from there.
 #[tokio::test]
 async fn a_refusal_reaches_a_host_without_peers_through_the_store() {
-    let store = Arc::new(Calls::new(Plan { lost_grants: 1, ..Plan::default() }));
+    let store = Arc::new(Recorder::new(Plan { lost_grants: 1, ..Plan::default() }));
     let mirror: Arc<Mirror> = Arc::default();
     tokio::spawn(ends::run(mirror.clone(), store.clone()));
     mirror.ends.record_end(&run(1), poison(), false);
     mirror.ends.record_end(&run(2), poison(), false);
     let write = async {
         loop {
-            if let Some(write) = store.seen().write {
+            if let Some(write) = store.recording().write {
                 return write;
             }
             tokio::time::sleep(Duration::from_millis(10)).await;
@@ -155,11 +155,11 @@
         (write.expected, write.lease),
         (Some(Revision::ZERO), Some(Lease { era: 0, id: 1 }))
     );
-    assert_eq!(store.seen().grants, [RETENTION, RETENTION], "the first one is lost");
+    assert_eq!(store.recording().grants, [RETENTION, RETENTION], "the first one is lost");
     let record =
         mirror::Record { key: write.key, revision: Revision::new(0, 5), value: write.value };
     let alone: Arc<Mirror> = Arc::default();
-    tokio::spawn(ends::run(alone.clone(), Arc::<Calls>::default()));
+    tokio::spawn(ends::run(alone.clone(), Arc::<Recorder>::default()));
     alone.apply(vec![record.clone()], Source::Store);
     assert_eq!(wait_until_refused_by(&alone).await, 2);
     // An invalid entry of another writer changes nothing.
@@ -171,13 +171,13 @@
 
 #[tokio::test]
 async fn ends_the_lease_if_another_gateway_wrote_first() {
-    let store = Arc::new(Calls::new(Plan { taken: true, ..Plan::default() }));
+    let store = Arc::new(Recorder::new(Plan { conflict: true, ..Plan::default() }));
     let mirror: Arc<Mirror> = Arc::default();
     tokio::spawn(ends::run(mirror.clone(), store.clone()));
     mirror.ends.record_end(&run(1), poison(), false);
     mirror.ends.record_end(&run(2), poison(), false);
     let ended = async {
-        while store.seen().ended == 0 {
+        while store.recording().revocations == 0 {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     };
--- a/mirror/tests/silence.rs
+++ b/mirror/tests/silence.rs
@@ -18,7 +18,7 @@
 
 /// Starts a follower of a host through a proxy.
 async fn follower(proxy: &Proxy, address: SocketAddr) -> Arc<Mirror> {
-    let answer = proxy.obey(&format!("target host norte {address}")).await.unwrap();
+    let answer = proxy.execute(&format!("target host norte {address}")).await.unwrap();
     let seed = answer.rsplit(' ').next().unwrap().parse().unwrap();
     let mirror: Arc<Mirror> = Arc::default();
     let own = follow::LocalHost { name: "f".into(), zone: "norte".into(), address: None };
@@ -58,7 +58,7 @@
     let mirror = follower(&proxy, address).await;
     source.apply(vec![record("first", 1)], Source::Store);
     wait_for(&mirror, "first").await;
-    proxy.obey("link * host silence").await.unwrap();
+    proxy.execute("link * host silence").await.unwrap();
     source.apply(vec![record("second", 2)], Source::Store);
     (address, wait_for(&mirror, "second").await)
 }
--- a/sidecar/tests/suspension.rs
+++ b/sidecar/tests/suspension.rs
@@ -11,12 +11,12 @@
 use loftcove_interface::store;
 use loftcove_mirror::Mirror;
 use loftcove_sidecar::election::{self, Renewals, Term};
-use loftcove_standins::calls::{Calls, Plan};
+use loftcove_standins::calls::{Plan, Recorder};
 
 /// There is only one test in this file, because it advances the clock of the process.
 #[tokio::test]
 async fn renews_the_term_immediately_after_a_suspension() {
-    let store = Arc::new(Calls::new(Plan { renewals: 2, ..Plan::default() }));
+    let store = Arc::new(Recorder::new(Plan { renewals: 2, ..Plan::default() }));
     let renewals: Arc<Renewals> = Arc::default();
     let renewal = tokio::spawn({
         let (store, renewals) = (store.clone(), renewals.clone());
@@ -25,14 +25,14 @@
             election::renew(&*store, &Mirror::default(), "g0", term, &renewals).await;
         }
     });
-    while store.seen().renewals == 0 {
+    while store.recording().renewals == 0 {
         tokio::task::yield_now().await;
     }
     assert!(!renewals.check().await);
     boot::simulate_suspension(Duration::from_secs(5));
     let renewed = tokio::time::timeout(Duration::from_millis(400), renewals.check()).await;
     assert_eq!(renewed, Ok(true), "half of the renewal interval");
-    assert_eq!(store.seen().renewals, 2);
+    assert_eq!(store.recording().renewals, 2);
     assert!(!renewals.check().await);
     // The term expires during the second suspension.
     boot::simulate_suspension(Duration::from_secs(5));
--- a/standins/src/bin/fault-proxy.rs
+++ b/standins/src/bin/fault-proxy.rs
@@ -8,7 +8,7 @@
     let proxy = proxy::Proxy::default();
     let mut lines = BufReader::new(tokio::io::stdin()).lines();
     while let Ok(Some(line)) = lines.next_line().await {
-        match proxy.obey(&line).await {
+        match proxy.execute(&line).await {
             Ok(answer) => println!("{answer}"),
             Err(reason) => println!("refused: {reason}"),
         }
--- a/standins/src/bin/standin-engine.rs
+++ b/standins/src/bin/standin-engine.rs
@@ -29,7 +29,7 @@
     let leads = config.rank == 0;
     let stand_in = engine::Engine::new(config);
     if leads {
-        tokio::spawn(stand_in.clone().lead());
+        tokio::spawn(stand_in.clone().run_steps());
     }
     server::serve(listener, move |request| stand_in.clone().handle(request)).await;
 }
--- a/standins/src/bin/standin-group.rs
+++ b/standins/src/bin/standin-group.rs
@@ -41,7 +41,7 @@
     }
     let control = server::listen(([127, 0, 0, 1], 0).into()).await;
     server::serve(control, move |request| {
-        let query = store::query(request.uri().query().unwrap_or_default());
+        let query = store::parse_query(request.uri().query().unwrap_or_default());
         let number = query.get("group").and_then(|text| text.parse().ok()).unwrap_or(0);
         let group: &Group = groups.get(number).unwrap_or(&groups[0]);
         let answer = group.control(request.uri().path(), &query);
--- a/standins/src/calls.rs
+++ b/standins/src/calls.rs
@@ -14,12 +14,12 @@
     /// First grants of a lease whose answers are lost.
     pub lost_grants: u32,
     /// Whether every key that is written exists already.
-    pub taken: bool,
+    pub conflict: bool,
 }
 
 /// What was asked of it.
 #[derive(Debug, Clone, Default)]
-pub struct Seen {
+pub struct Recording {
     /// Renewals.
     pub renewals: u32,
     /// Times of the leases that were asked for.
@@ -27,33 +27,33 @@
     /// The last write.
     pub write: Option<store::Write>,
     /// Leases that were ended.
-    pub ended: u32,
+    pub revocations: u32,
 }
 
 /// The store.
 #[derive(Debug, Default)]
-pub struct Calls {
+pub struct Recorder {
     plan: Plan,
-    seen: Mutex<Seen>,
+    seen: Mutex<Recording>,
 }
 
-impl Calls {
+impl Recorder {
     /// A store that was asked nothing.
-    pub fn new(plan: Plan) -> Calls {
-        Calls { plan, seen: Mutex::default() }
+    pub fn new(plan: Plan) -> Recorder {
+        Recorder { plan, seen: Mutex::default() }
     }
 
     /// What was asked of it so far.
-    pub fn seen(&self) -> Seen {
+    pub fn recording(&self) -> Recording {
         self.lock().clone()
     }
 
-    fn lock(&self) -> std::sync::MutexGuard<'_, Seen> {
+    fn lock(&self) -> std::sync::MutexGuard<'_, Recording> {
         self.seen.lock().expect("no holder of the stand-in's lock panics")
     }
 }
 
-impl Store for Calls {
+impl Store for Recorder {
     async fn list(&self, _: &str) -> Result<store::Listing, Error> {
         Err(Error::Refused { status: 503, rest: Duration::ZERO })
     }
@@ -69,7 +69,7 @@
 
     async fn write(&self, write: &store::Write) -> Result<store::Outcome, Error> {
         self.lock().write = Some(write.clone());
-        Ok(if self.plan.taken {
+        Ok(if self.plan.conflict {
             store::Outcome::Conflict
         } else {
             store::Outcome::Done(store::Revision::new(0, 5))
@@ -92,7 +92,7 @@
     }
 
     async fn revoke(&self, _: store::Lease) -> Result<(), Error> {
-        self.lock().ended += 1;
+        self.lock().revocations += 1;
         Ok(())
     }
 }
--- a/standins/src/engine.rs
+++ b/standins/src/engine.rs
@@ -134,7 +134,7 @@
     }
 
     /// Launches steps for ever, as rank 0.
-    pub async fn lead(self) {
+    pub async fn run_steps(self) {
         let http: legacy::Client<_, Full<Bytes>> =
             legacy::Client::builder(hyper_util::rt::TokioExecutor::new()).build_http();
         let mut number = 0;
--- a/standins/src/group.rs
+++ b/standins/src/group.rs
@@ -96,9 +96,9 @@
 }
 
 /// What a server says of itself in an answer.
-pub struct Said {
+pub struct Notice {
     /// Whether it leaves.
-    pub leaves: bool,
+    pub leaving: bool,
     /// The rate limit that it names, as its header says it.
     pub limit: Option<String>,
 }
@@ -177,19 +177,19 @@
     }
 
     /// Whether the group is open.
-    pub fn open(&self) -> bool {
+    pub fn is_open(&self) -> bool {
         self.lock().open
     }
 
     /// A request begins or ends at a rank.
-    pub fn count(&self, rank: usize, change: i32) {
+    pub fn adjust_active(&self, rank: usize, change: i32) {
         let mut state = self.lock();
         let active = &mut state.ranks[rank].active;
         *active = active.saturating_add_signed(change);
     }
 
     /// An event of a stream was made at a rank: its experts were chosen.
-    pub fn choose(&self, rank: usize) {
+    pub fn count_choices(&self, rank: usize) {
         let mut state = self.lock();
         let (sets, experts, ..) = SHAPE;
         let popular = usize::from(state.popular);
@@ -207,12 +207,12 @@
     }
 
     /// Keeps what a request looked like.
-    pub fn note(&self, request: Value) {
+    pub fn record_request(&self, request: Value) {
         self.lock().requests.push(request);
     }
 
     /// A server ends under a request with that body: its group breaks.
-    pub fn end(&self, server: &str, body: &str) {
+    pub fn record_end(&self, server: &str, body: &str) {
         let mut state = self.lock();
         state.open = false;
         let arrivals = state.requests.len();
@@ -222,17 +222,17 @@
 
     /// A request reached the run of a server that it was meant for. Returns the time after which to come back, as the
     /// header says it, where the request is to be refused.
-    pub fn receive(&self, server: &str, request: &str) -> Option<String> {
-        self.lock().receive(server, request)
+    pub fn record_arrival(&self, server: &str, request: &str) -> Option<String> {
+        self.lock().record_arrival(server, request)
     }
 
     /// What a server says of itself in its answer to a request.
-    pub fn answer(&self, server: &str, request: &str) -> Said {
-        self.lock().answer(server, request)
+    pub fn notice(&self, server: &str, request: &str) -> Notice {
+        self.lock().notice(server, request)
     }
 
     /// Whether a server says that it leaves.
-    pub fn leaves(&self, server: &str) -> bool {
+    pub fn is_leaving(&self, server: &str) -> bool {
         self.lock().leaving.contains(server)
     }
 
@@ -399,7 +399,7 @@
         *self.starts.entry(server.to_owned()).or_default() += 1;
     }
 
-    fn receive(&mut self, server: &str, request: &str) -> Option<String> {
+    fn record_arrival(&mut self, server: &str, request: &str) -> Option<String> {
         let own = if self.sheds.contains_key(server) { server } else { ALL };
         let shed = self.sheds.get_mut(own).and_then(|shed| {
             shed.count += 1;
@@ -416,16 +416,16 @@
 
     /// What a server says of itself in its answer to a request, which is kept with the
     /// request's visit.
-    fn answer(&mut self, server: &str, request: &str) -> Said {
-        let leaves = self.leaving.contains(server);
+    fn notice(&mut self, server: &str, request: &str) -> Notice {
+        let leaving = self.leaving.contains(server);
         let limit = self.limits.get(server).cloned();
         let mut visits = self.visits.iter_mut().rev();
         let visit = visits.find(|visit| visit["server"] == server && visit["request"] == request);
         if let Some(visit) = visit {
-            visit["leaving"] = json!(leaves);
+            visit["leaving"] = json!(leaving);
             visit["told"] = json!(limit.is_some());
         }
-        Said { leaves, limit }
+        Notice { leaving, limit }
     }
 
     fn form(&mut self) {
--- a/standins/src/proxy.rs
+++ b/standins/src/proxy.rs
@@ -143,7 +143,7 @@
     /// # Errors
     ///
     /// What is wrong with the line.
-    pub async fn obey(&self, line: &str) -> Result<String, String> {
+    pub async fn execute(&self, line: &str) -> Result<String, String> {
         let words: Vec<&str> = line.split_whitespace().collect();
         match words.as_slice() {
             ["source", zone, ip] => {
--- a/standins/src/store.rs
+++ b/standins/src/store.rs
@@ -108,7 +108,7 @@
 
     async fn answer(self, request: http::Request<Incoming>) -> Response {
         let path = request.uri().path().to_owned();
-        let query = query(request.uri().query().unwrap_or_default());
+        let query = parse_query(request.uri().query().unwrap_or_default());
         let caller = request.extensions().get::<SocketAddr>().map(SocketAddr::ip);
         let method = request.method().clone();
         let body = server::read(request.into_body()).await;
@@ -391,7 +391,7 @@
 }
 
 /// The pairs of a query.
-pub fn query(text: &str) -> Query {
+pub fn parse_query(text: &str) -> Query {
     let pairs = text.split('&').filter(|pair| !pair.is_empty());
     pairs
         .map(|pair| pair.split_once('=').unwrap_or((pair, "")))
--- a/standins/src/worker.rs
+++ b/standins/src/worker.rs
@@ -6,7 +6,7 @@
 //! (end without an answer), `x-standin-status: N`, `x-standin-foreign` (an
 //! answer that names another request), `x-standin-delay-ms: N`,
 //! `x-standin-end-ms: N` (the server ends N ms after it has begun the request,
-//! and starts again under its id after [`AWAY`]; its port outlives its connections
+//! and starts again under its id after [`RESTART_DELAY`]; its port outlives its connections
 //! by `x-standin-linger-ms`).
 
 use std::collections::BTreeMap;
@@ -25,7 +25,7 @@
 use crate::server;
 
 /// How long a server is away that has ended.
-pub const AWAY: Duration = Duration::from_millis(700);
+pub const RESTART_DELAY: Duration = Duration::from_millis(700);
 
 /// One backend server.
 #[derive(Clone)]
@@ -57,14 +57,14 @@
 
 impl<'a> Work<'a> {
     fn begin(group: &'a Group, rank: usize) -> Work<'a> {
-        group.count(rank, 1);
+        group.adjust_active(rank, 1);
         Work { group, rank }
     }
 }
 
 impl Drop for Work<'_> {
     fn drop(&mut self) {
-        self.group.count(self.rank, -1);
+        self.group.adjust_active(self.rank, -1);
     }
 }
 
@@ -85,7 +85,7 @@
     pub async fn run(self, mut listener: TcpListener) {
         loop {
             self.live(listener).await;
-            tokio::time::sleep(AWAY).await;
+            tokio::time::sleep(RESTART_DELAY).await;
             listener = TcpListener::bind(&*self.address).await.expect("its address is its own");
             self.group.restart(&self.id, self.lockstep);
         }
@@ -130,7 +130,7 @@
         let (worker, body) = (self.clone(), String::from_utf8_lossy(body).into_owned());
         tokio::spawn(async move {
             tokio::time::sleep(time).await;
-            worker.group.end(&worker.id, &body);
+            worker.group.record_end(&worker.id, &body);
             worker.ends.send_modify(|(count, last)| (*count, *last) = (*count + 1, linger));
         });
     }
@@ -173,9 +173,9 @@
             .header("x-attempt-id", echo)
             .header("x-server-stamp", format!("{}.{id}", self.id))
             .header("x-server-load", "1,0,12");
-        let said = self.group.answer(&self.id, id);
-        let answer = if said.leaves { answer.header("server-leaving", "1") } else { answer };
-        match said.limit {
+        let notice = self.group.notice(&self.id, id);
+        let answer = if notice.leaving { answer.header("server-leaving", "1") } else { answer };
+        match notice.limit {
             Some(limit) => answer.header("server-limit", limit),
             None => answer,
         }
@@ -184,7 +184,7 @@
     /// Answers a health check.
     fn health(&self) -> Result<http::Response<Body>, Dropped> {
         let answer = http::Response::builder().header("x-instance-id", &*self.id);
-        let answer = match self.group.leaves(&self.id) {
+        let answer = match self.group.is_leaving(&self.id) {
             true => answer.status(503).header("server-leaving", "1"),
             false => answer.status(200),
         };
@@ -227,17 +227,17 @@
             return self.not_run(head, 421);
         }
         let id = text(headers, "x-attempt-id").unwrap_or_default();
-        if let Some(rest) = self.group.receive(&self.id, id) {
+        if let Some(rest) = self.group.record_arrival(&self.id, id) {
             return self.shed(head, &rest);
         }
-        if self.lockstep && !self.group.open() {
+        if self.lockstep && !self.group.is_open() {
             return self.not_run(head, 503);
         }
         let kept: BTreeMap<&str, &str> = headers
             .iter()
             .filter_map(|(name, value)| Some((name.as_str(), value.to_str().ok()?)))
             .collect();
-        self.group.note(json!({
+        self.group.record_request(json!({
             "server": &*self.id,
             "path": head.uri.path(),
             "headers": kept,
@@ -273,14 +273,14 @@
         let (sender, body) = server::channel();
         let worker = self.clone();
         tokio::spawn(async move {
-            worker.group.count(worker.rank, 1);
+            worker.group.adjust_active(worker.rank, 1);
             let mut passes = worker.group.passes();
             for event in first..=events {
                 // A plain server needs no pass.
                 if worker.lockstep {
                     passes.changed().await.ok();
                 }
-                worker.group.choose(worker.rank);
+                worker.group.count_choices(worker.rank);
                 let broken = end == Some(event);
                 let text = if broken {
                     format!("id: {event}\ndata: half an ev")
@@ -296,7 +296,7 @@
                     break;
                 }
             }
-            worker.group.count(worker.rank, -1);
+            worker.group.adjust_active(worker.rank, -1);
         });
         let answer = self.answer(head, 200).header("content-type", "text/event-stream");
         answer.body(body).map_err(std::io::Error::other)
