--- a/standins/src/calls.rs
+++ b/standins/src/calls.rs
@@ -1,55 +1,57 @@
-//! A store in memory for tests of those who call it: it counts calls, keeps the
-//! last write, and refuses what it does not know.
+//! An in-memory implementation of [`Store`] for unit tests of its callers.
+//!
+//! It counts calls, records the last write, and rejects the operations that it does not implement
+//! with status 503.
 
 use std::sync::Mutex;
 use std::time::Duration;
 
 use loftcove_interface::store::{self, Error, Store};
 
-/// What the store does.
+/// Configured behaviour of the store.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Plan {
-    /// Renewals for which a lease holds.
+    /// Number of renewals that succeed. Later ones report that the lease has expired.
     pub renewals: u32,
-    /// First grants of a lease whose answers are lost.
+    /// Number of initial lease grants whose responses are lost.
     pub lost_grants: u32,
-    /// Whether every key that is written exists already.
+    /// Whether every write conflicts, as if its key already existed.
     pub conflict: bool,
 }
 
-/// What was asked of it.
+/// Calls that the store has received.
 #[derive(Debug, Clone, Default)]
 pub struct Recording {
-    /// Renewals.
+    /// Number of renewals.
     pub renewals: u32,
-    /// Times of the leases that were asked for.
+    /// TTLs of the requested leases.
     pub grants: Vec<Duration>,
-    /// The last write.
+    /// Last write.
     pub write: Option<store::Write>,
-    /// Leases that were ended.
+    /// Number of revoked leases.
     pub revocations: u32,
 }
 
-/// The store.
+/// A store that records its calls.
 #[derive(Debug, Default)]
 pub struct Recorder {
     plan: Plan,
-    seen: Mutex<Recording>,
+    recording: Mutex<Recording>,
 }
 
 impl Recorder {
-    /// A store that was asked nothing.
+    /// Creates a store without any recorded call.
     pub fn new(plan: Plan) -> Recorder {
-        Recorder { plan, seen: Mutex::default() }
+        Recorder { plan, recording: Mutex::default() }
     }
 
-    /// What was asked of it so far.
+    /// Returns the calls recorded so far.
     pub fn recording(&self) -> Recording {
         self.lock().clone()
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, Recording> {
-        self.seen.lock().expect("no holder of the stand-in's lock panics")
+        self.recording.lock().expect("no holder of the stand-in's lock panics")
     }
 }
 
@@ -77,18 +79,18 @@
     }
 
     async fn grant(&self, ttl: Duration) -> Result<store::Lease, Error> {
-        let mut seen = self.lock();
-        seen.grants.push(ttl);
-        match seen.grants.len() as u32 > self.plan.lost_grants {
+        let mut recording = self.lock();
+        recording.grants.push(ttl);
+        match recording.grants.len() as u32 > self.plan.lost_grants {
             true => Ok(store::Lease { era: 0, id: 1 }),
             false => Err(Error::Lost("answer".to_owned())),
         }
     }
 
     async fn renew(&self, _: store::Lease) -> Result<bool, Error> {
-        let mut seen = self.lock();
-        seen.renewals += 1;
-        Ok(seen.renewals <= self.plan.renewals)
+        let mut recording = self.lock();
+        recording.renewals += 1;
+        Ok(recording.renewals <= self.plan.renewals)
     }
 
     async fn revoke(&self, _: store::Lease) -> Result<(), Error> {
