--- a/standins/src/bin/standin-engine.rs
+++ b/standins/src/bin/standin-engine.rs
@@ -12,9 +12,9 @@
     let address = arguments.opt_value_from_str("--listen").expect("--listen takes an address");
     let followers: Option<String> =
         arguments.opt_value_from_str("--followers").expect("--followers takes addresses");
-    let mut number = |name: &'static str, otherwise: u64| -> u64 {
+    let mut number = |name: &'static str, default: u64| -> u64 {
         let value = arguments.opt_value_from_str(name).expect("the option takes a number");
-        value.unwrap_or(otherwise)
+        value.unwrap_or(default)
     };
     let parse = |text: &str| text.parse::<SocketAddr>().expect("a follower is an address");
     let followers = followers.unwrap_or_default();
@@ -26,9 +26,9 @@
         experts: number("--experts", 8) as u32,
     };
     let listener = server::listen(address.unwrap_or(([127, 0, 0, 1], 0).into())).await;
-    let leads = config.rank == 0;
+    let launches_steps = config.rank == 0;
     let stand_in = engine::Engine::new(config);
-    if leads {
+    if launches_steps {
         tokio::spawn(stand_in.clone().run_steps());
     }
     server::serve(listener, move |request| stand_in.clone().handle(request)).await;
--- a/standins/src/engine.rs
+++ b/standins/src/engine.rs
@@ -1,10 +1,10 @@
 //! A stand-in for one rank of a model group.
 //!
-//! The ranks step together: rank 0 launches each step and names its expert
-//! map's epoch; every other rank runs the step only if it has prepared that
-//! epoch, and holds it otherwise. Each rank keeps what epoch it ran each step
-//! on (`GET /standin/steps`), so that a test can compare the ranks. A running
-//! request emits one token a step. `/standin/drift` makes other experts popular.
+//! The ranks step in lockstep. Rank 0 launches each step and sends its number and the epoch of its
+//! expert map. Every other rank runs the step only if it has prepared that epoch; otherwise it
+//! rejects the step, and rank 0 retries. Each rank records the epoch of each step that it ran
+//! (`GET /standin/steps`), which lets a test compare the ranks. A running request emits one token
+//! per step. `/standin/drift` shifts the popularity to other experts.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -20,23 +20,23 @@
 
 use crate::{server, service};
 
-/// Steps that are remembered for `GET /standin/steps`.
+/// Maximum number of steps recorded for `GET /standin/steps`.
 const HISTORY: usize = 100_000;
-/// Longest wait for one rank's part of a step before rank 0 asks again.
-const STEP_PATIENCE: Duration = Duration::from_millis(500);
+/// Time that rank 0 waits for a rank to run a step before it sends the step again.
+const STEP_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How a rank is set up.
+/// Configuration of a rank.
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// This rank.
+    /// Number of this rank.
     pub rank: u32,
-    /// The other ranks, for rank 0.
+    /// Addresses of the other ranks. Only rank 0 uses them.
     pub followers: Vec<SocketAddr>,
-    /// Time between two steps.
+    /// Interval between steps.
     pub step: Duration,
-    /// Layers of the synthetic expert counts.
+    /// Number of layers in the synthetic expert counts.
     pub layers: u32,
-    /// Experts of each layer.
+    /// Number of experts per layer.
     pub experts: u32,
 }
 
@@ -51,10 +51,10 @@
     cancelled: u64,
 }
 
-/// Per layer, the experts that this rank holds with their number of copies.
+/// For each layer, the experts on this rank, each with its total number of replicas.
 type Map = Vec<Vec<(u32, u32)>>;
 
-/// The stand-in.
+/// A stand-in for one rank.
 #[derive(Clone)]
 pub struct Engine {
     config: Arc<Config>,
@@ -62,16 +62,16 @@
     step: watch::Sender<u64>,
 }
 
-/// Counts a running request, and its cancellation if it did not end.
+/// A guard that counts a running request, and counts it as cancelled if it is dropped unfinished.
 struct Running {
     engine: Engine,
-    ended: bool,
+    finished: bool,
 }
 
 impl Running {
-    /// The answer is whole.
+    /// Marks the response as complete.
     fn finish(mut self) {
-        self.ended = true;
+        self.finished = true;
     }
 }
 
@@ -79,7 +79,7 @@
     fn drop(&mut self) {
         let mut state = self.engine.lock();
         state.running -= 1;
-        state.cancelled += u64::from(!self.ended);
+        state.cancelled += u64::from(!self.finished);
     }
 }
 
@@ -113,7 +113,7 @@
 }
 
 impl Engine {
-    /// A rank with the even map of epoch 0.
+    /// Creates a rank at epoch 0, the even map, which is represented as empty.
     pub fn new(config: Config) -> Engine {
         let state = State {
             epochs: BTreeMap::from([(0, Vec::new())]),
@@ -133,7 +133,7 @@
         self.state.lock().expect("no holder of the stand-in's lock panics")
     }
 
-    /// Launches steps for ever, as rank 0.
+    /// Launches steps as rank 0. Never returns.
     pub async fn run_steps(self) {
         let http: legacy::Client<_, Full<Bytes>> =
             legacy::Client::builder(hyper_util::rt::TokioExecutor::new()).build_http();
@@ -143,16 +143,18 @@
             number += 1;
             let epoch = self.lock().active;
             let body = serde_json::json!({ "number": number, "epoch": epoch }).to_string();
-            let parts = self.config.followers.iter().map(|address| {
+            let sends = self.config.followers.iter().map(|address| {
                 let uri = format!("http://{address}/step");
-                persist(http.clone(), uri, body.clone().into())
+                send_step(http.clone(), uri, body.clone().into())
             });
-            futures_util::future::join_all(parts).await;
+            futures_util::future::join_all(sends).await;
             self.run_step(number, epoch);
         }
     }
 
-    /// Runs a step if its epoch is prepared.
+    /// Runs a step if its epoch is prepared, and returns whether it is.
+    ///
+    /// A step that has already run is not repeated.
     fn run_step(&self, number: u64, epoch: u64) -> bool {
         {
             let mut state = self.lock();
@@ -172,7 +174,7 @@
         true
     }
 
-    /// Answers one call.
+    /// Handles one call.
     pub async fn handle(self, request: http::Request<Incoming>) -> http::Response<server::Body> {
         let path = request.uri().path().to_owned();
         let headers = request.headers().clone();
@@ -181,7 +183,7 @@
             "/v1/chat/completions" => self.complete(&headers, &body).await,
             "/load" => server::json(200, &self.load()),
             "/experts" => server::json(200, &self.experts()),
-            "/step" => self.follow(&body),
+            "/step" => self.step(&body),
             "/control/prepare" => self.prepare(&body),
             "/control/activate" => self.activate(&body),
             "/standin/drift" => {
@@ -195,7 +197,7 @@
         }
     }
 
-    fn follow(&self, body: &[u8]) -> http::Response<server::Body> {
+    fn step(&self, body: &[u8]) -> http::Response<server::Body> {
         let Some(step) = parse::<Step>(body) else { return server::text(400, "not a step") };
         match self.run_step(step.number, step.epoch) {
             true => server::text(200, ""),
@@ -205,16 +207,16 @@
 
     fn prepare(&self, body: &[u8]) -> http::Response<server::Body> {
         let Some(order) = parse::<Prepare>(body) else { return server::text(400, "not a map") };
-        let own =
+        let replicas =
             |copies: &Vec<u32>| copies.contains(&self.config.rank).then_some(copies.len() as u32);
         let held = |layer: &Vec<Vec<u32>>| {
             let experts = layer.iter().enumerate();
-            experts.filter_map(|(e, copies)| Some((e as u32, own(copies)?))).collect()
+            experts.filter_map(|(e, copies)| Some((e as u32, replicas(copies)?))).collect()
         };
         let map = order.layers.iter().map(held).collect();
         let mut state = self.lock();
         let active = state.active;
-        // Only the active map and the newest one stay in memory.
+        // A rank keeps only the active map and the newest one.
         state.epochs.retain(|epoch, _| *epoch == active);
         state.epochs.insert(order.epoch, map);
         server::text(200, "")
@@ -242,14 +244,15 @@
         })
     }
 
-    /// Tokens since the last call, by a popularity that falls with the
-    /// expert's number and differs from layer to layer.
+    /// Returns the expert loads since the last call.
+    ///
+    /// An expert's popularity falls with its number, and the order differs between layers.
     fn experts(&self) -> serde_json::Value {
         let mut state = self.lock();
         let tokens = std::mem::take(&mut state.tokens) + 1_000;
         let drift = state.drift;
-        let even: Map = Vec::new();
-        let map = state.epochs.get(&state.active).unwrap_or(&even);
+        let empty: Map = Vec::new();
+        let map = state.epochs.get(&state.active).unwrap_or(&empty);
         let layers: Vec<Vec<(u32, u64)>> = map
             .iter()
             .enumerate()
@@ -273,17 +276,17 @@
         let Some(prompt) = parse::<Prompt>(body) else { return server::text(400, "no prompt") };
         let id = service::header(headers, "x-request-id").to_owned();
         let key = service::header(headers, "idempotency-key").to_owned();
-        let breaks = service::header(headers, "x-standin-break-after").parse::<u64>().ok();
+        let break_after = service::header(headers, "x-standin-break-after").parse::<u64>().ok();
         {
             let mut state = self.lock();
             state.running += 1;
             *state.runs.entry(if key.is_empty() { id.clone() } else { key }).or_default() += 1;
         }
-        let running = Running { engine: self.clone(), ended: false };
+        let running = Running { engine: self.clone(), finished: false };
         let tokens = prompt.max_tokens.unwrap_or(16);
         let mut response = match prompt.stream {
-            true => self.stream(running, id.clone(), tokens, breaks),
-            false => self.whole(running, &id, tokens).await,
+            true => self.complete_stream(running, id.clone(), tokens, break_after),
+            false => self.complete_whole(running, &id, tokens).await,
         };
         if let Ok(id) = id.parse() {
             response.headers_mut().insert("x-request-id", id);
@@ -291,16 +294,21 @@
         response
     }
 
-    async fn token(&self, steps: &mut watch::Receiver<u64>) {
+    async fn next_token(&self, steps: &mut watch::Receiver<u64>) {
         steps.changed().await.ok();
         self.lock().tokens += 1;
     }
 
-    async fn whole(&self, running: Running, id: &str, tokens: u64) -> http::Response<server::Body> {
+    async fn complete_whole(
+        &self,
+        running: Running,
+        id: &str,
+        tokens: u64,
+    ) -> http::Response<server::Body> {
         let mut steps = self.step.subscribe();
         let mut text = String::new();
         for number in 0..tokens {
-            self.token(&mut steps).await;
+            self.next_token(&mut steps).await;
             text.push_str(&format!("t{number} "));
         }
         running.finish();
@@ -311,12 +319,12 @@
         server::json(200, &answer)
     }
 
-    fn stream(
+    fn complete_stream(
         &self,
         running: Running,
         id: String,
         tokens: u64,
-        breaks: Option<u64>,
+        break_after: Option<u64>,
     ) -> http::Response<server::Body> {
         let (sender, body) = server::channel();
         let engine = self.clone();
@@ -324,11 +332,11 @@
             let mut steps = engine.step.subscribe();
             for number in 0..tokens {
                 tokio::select! {
-                    _ = engine.token(&mut steps) => {}
+                    _ = engine.next_token(&mut steps) => {}
                     _ = sender.closed() => return,
                 }
-                if breaks == Some(number) {
-                    let error = std::io::Error::other("the engine broke off");
+                if break_after == Some(number) {
+                    let error = std::io::Error::other("the engine aborted the response");
                     sender.send(Err(error)).await.ok();
                     return;
                 }
@@ -350,8 +358,8 @@
     }
 }
 
-/// Sends a rank its part of a step until it has run it.
-async fn persist(
+/// Sends a step to a rank, and retries until the rank has run it.
+async fn send_step(
     http: legacy::Client<legacy::connect::HttpConnector, Full<Bytes>>,
     uri: String,
     body: Bytes,
@@ -359,8 +367,8 @@
     loop {
         let request = http::Request::post(&uri)
             .body(Full::new(body.clone()))
-            .expect("the address makes a well-formed URI");
-        let answer = tokio::time::timeout(STEP_PATIENCE, http.request(request)).await;
+            .expect("a socket address forms a valid URI");
+        let answer = tokio::time::timeout(STEP_TIMEOUT, http.request(request)).await;
         if let Ok(Ok(response)) = answer {
             let done = response.status().is_success();
             response.into_body().collect().await.ok();
