--- a/standins/src/bin/standin-group.rs
+++ b/standins/src/bin/standin-group.rs
@@ -1,9 +1,10 @@
 //! The stand-in for backend servers on the users' platform:
 //! `standin-group --servers ID=ADDRESS,.. [--lockstep] [--groups N]`.
 //!
-//! The servers form so many groups of the same size, one after the other. What
-//! the control address takes goes to the group of the query's `group`, counted
-//! from 0, and to the first one without it. Prints `listening ADDRESS` for its control address once all servers listen.
+//! The servers are split, in their order, into N groups of the same size (by default 1). A call to
+//! the control address applies to the group that the query's `group` selects, counted from 0, or to
+//! the first group without it. Prints `listening ADDRESS` for its control address once all servers
+//! listen.
 
 use std::net::SocketAddr;
 
--- a/standins/src/group.rs
+++ b/standins/src/group.rs
@@ -1,20 +1,27 @@
-//! A stand-in for backend servers on the users' platform: the ranks of a
-//! lock-step group, or plain servers of a service.
+//! A stand-in for backend servers on the users' platform: the ranks of a lock-step group, or plain
+//! servers of a service.
 //!
-//! All ranks live in one process and begin each pass together. A pass in which
-//! two ranks hold maps of different versions or contents is counted as a violation. What a request
-//! asks for by headers of its own (`x-standin-...`) happens to it; see
-//! [`crate::worker`]. The control address takes `PUT /orders?lost=N&late=N`
-//! (each Nth order is not carried out, or half a second later, and neither is
-//! answered), `PUT /break` and `PUT /mend` (the group breaks, and forms anew),
-//! `PUT /shed?server=ID&each=N&rest=TEXT` (each Nth request of the server, or of
-//! each server without an id, is answered 503 with that `Retry-After`, without one
-//! where the text is empty) and `PUT /leave?server=ID&on=1` (all answers of the
-//! server say that it leaves; with `on=0` it has started again) and
-//! `PUT /limit?server=ID&rate=TEXT` (all its answers name that rate limit, none where
-//! the text is empty), and tells with `GET /state`,
-//! `GET /requests`, `GET /ends` (servers that ended under a request) and
-//! `GET /visits` (all that reached the run that it was meant for) what happened.
+//! All ranks live in one process and begin each pass together. A pass in which two ranks have maps
+//! of different versions or contents is counted as a violation. `x-standin-...` headers of a
+//! request control how it is handled; see [`crate::worker`].
+//!
+//! The control address takes:
+//!
+//! - `PUT /orders?lost=N&late=N`: every Nth order is dropped, or is executed half a second late.
+//!   Neither is answered.
+//! - `PUT /popular?expert=N`: moves the popularity to the experts that start at N.
+//! - `PUT /break` and `PUT /mend`: breaks the group, and re-forms it.
+//! - `PUT /shed?server=ID&each=N&rest=TEXT`: every Nth request of the server, or of each server if
+//!   no id is given, is answered 503 with `Retry-After: TEXT`, or without the header if the text is
+//!   empty.
+//! - `PUT /leave?server=ID&on=1`: all responses of the server carry `server-leaving`. With `on=0`
+//!   the server has restarted.
+//! - `PUT /limit?server=ID&rate=TEXT`: all responses of the server carry that rate limit, or none
+//!   if the text is empty.
+//! - `GET /state`: counters and map versions.
+//! - `GET /requests`: the requests that were executed.
+//! - `GET /ends`: the servers that ended while they ran a request.
+//! - `GET /visits`: all requests that reached the run of a server that they were meant for.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{Hash as _, Hasher as _};
@@ -24,28 +31,28 @@
 use serde_json::{Value, json};
 use tokio::sync::watch;
 
-/// Sets of layers, experts of each, experts of a set that a rank may hold, and
-/// may take in by one change.
+/// Number of layer sets, experts per set, experts of a set that a rank may hold, and experts of a
+/// set that a rank may add in one map change.
 pub const SHAPE: (usize, usize, usize, usize) = (2, 16, 6, 2);
-/// Time of a pass.
-const PASS: Duration = Duration::from_millis(10);
-/// Time that copying a map takes.
-const COPY: Duration = Duration::from_millis(40);
-/// How late an order is that is carried out late.
-const LATE: Duration = Duration::from_millis(500);
-/// Choices that one event of a stream makes in each set.
+/// Interval between passes.
+const PASS_INTERVAL: Duration = Duration::from_millis(10);
+/// Time that a rank takes to copy a map.
+const COPY_TIME: Duration = Duration::from_millis(40);
+/// Delay of an order that is executed late.
+const LATE_DELAY: Duration = Duration::from_millis(500);
+/// Number of expert choices that one stream event adds to each set.
 const CHOICES: u64 = 256;
 
-/// Experts by set.
+/// Experts, by layer set.
 type Experts = Vec<Vec<u16>>;
 
-/// A map, as one rank has it.
+/// One rank's part of a map.
 #[derive(Default)]
 struct Map {
     version: u64,
-    /// The rank's own experts.
+    /// Experts on the rank.
     experts: Experts,
-    /// Hash of the whole of it, in the order in which it came.
+    /// Hash of the whole map, in the order in which it was received.
     content: u64,
 }
 
@@ -61,13 +68,13 @@
     counts: Vec<u64>,
 }
 
-/// How a server sheds requests.
+/// Load shedding of a server.
 struct Shed {
-    /// Each so-and-so-many-th is refused.
+    /// Interval, in requests, between rejected requests.
     each: u64,
-    /// Time after which to come back, as the header says it.
+    /// Value of `Retry-After`, or empty for no header.
     rest: String,
-    /// Requests that have come.
+    /// Number of requests received.
     count: u64,
 }
 
@@ -81,39 +88,40 @@
     switches: u64,
     lost: u64,
     late: u64,
-    given: u64,
+    /// Number of orders received.
+    received: u64,
     requests: Vec<Value>,
     ends: Vec<Value>,
-    /// By server, or by [`ALL`].
+    /// Load shedding by server id, or for [`ALL`].
     sheds: BTreeMap<String, Shed>,
     leaving: BTreeSet<String>,
-    /// The rate limit that each server names, as its header says it.
+    /// Rate limit of each server, as its `server-limit` header has it.
     limits: BTreeMap<String, String>,
-    /// How often each server has started again.
+    /// Number of restarts of each server.
     starts: BTreeMap<String, u64>,
     visits: Vec<Value>,
     popular: u16,
 }
 
-/// What a server says of itself in an answer.
+/// State of a server that it reports in a response.
 pub struct Notice {
-    /// Whether it leaves.
+    /// Whether the server is leaving.
     pub leaving: bool,
-    /// The rate limit that it names, as its header says it.
+    /// Rate limit of the server, as its `server-limit` header has it.
     pub limit: Option<String>,
 }
 
-/// Stands for all servers.
+/// Key that stands for all servers.
 const ALL: &str = "*";
 
-/// The group.
+/// A group of backend servers.
 #[derive(Clone)]
 pub struct Group {
     state: Arc<Mutex<State>>,
     passes: watch::Sender<u64>,
 }
 
-/// An order as it arrives.
+/// An order, as received.
 #[derive(Debug, Clone, serde::Deserialize)]
 pub struct Order {
     op: String,
@@ -124,14 +132,15 @@
     expected_rev: Option<u64>,
 }
 
-fn dealt(rank: usize, ranks: usize) -> Experts {
+/// Returns the experts that a rank holds in the initial even map.
+fn round_robin(rank: usize, ranks: usize) -> Experts {
     let (sets, experts, ..) = SHAPE;
     let held: Vec<u16> = (rank..experts).step_by(ranks).map(|expert| expert as u16).collect();
     vec![held; sets]
 }
 
 impl Group {
-    /// A group of so many ranks.
+    /// Creates a group with the given number of ranks.
     pub fn new(name: &str, ranks: usize) -> Group {
         let mut state = State {
             name: name.to_owned(),
@@ -143,7 +152,7 @@
             switches: 0,
             lost: 0,
             late: 0,
-            given: 0,
+            received: 0,
             requests: Vec::new(),
             ends: Vec::new(),
             sheds: BTreeMap::new(),
@@ -153,7 +162,7 @@
             visits: Vec::new(),
             popular: 0,
         };
-        state.form();
+        state.form_epoch();
         Group { state: Arc::new(Mutex::new(state)), passes: watch::Sender::new(0) }
     }
 
@@ -161,43 +170,44 @@
         self.state.lock().expect("no holder of the stand-in's lock panics")
     }
 
-    /// Begins passes while requests run, until the process ends.
+    /// Begins passes while requests run. Never returns.
     pub async fn run(self) {
         loop {
-            tokio::time::sleep(PASS).await;
+            tokio::time::sleep(PASS_INTERVAL).await;
             if self.lock().begin_pass() {
                 self.passes.send_modify(|count| *count += 1);
             }
         }
     }
 
-    /// Follows the passes.
+    /// Returns a receiver that is notified of each pass.
     pub fn passes(&self) -> watch::Receiver<u64> {
         self.passes.subscribe()
     }
 
-    /// Whether the group is open.
+    /// Returns whether the group is open.
     pub fn is_open(&self) -> bool {
         self.lock().open
     }
 
-    /// A request begins or ends at a rank.
+    /// Adds `change` to the number of active requests of a rank.
     pub fn adjust_active(&self, rank: usize, change: i32) {
         let mut state = self.lock();
         let active = &mut state.ranks[rank].active;
         *active = active.saturating_add_signed(change);
     }
 
-    /// An event of a stream was made at a rank: its experts were chosen.
+    /// Counts the expert choices of one stream event on a rank.
     pub fn count_choices(&self, rank: usize) {
         let mut state = self.lock();
         let (sets, experts, ..) = SHAPE;
         let popular = usize::from(state.popular);
         let ranks = state.ranks.len();
         for set in 0..sets {
-            // Seven in eight choices fall on experts that are dealt to one rank.
-            for near in 0..4 {
-                let expert = (popular + near * ranks) % experts;
+            // The initial even map places these four experts on one rank. They get seven in eight
+            // choices.
+            for index in 0..4 {
+                let expert = (popular + index * ranks) % experts;
                 state.ranks[rank].counts[set * experts + expert] += CHOICES * 7 / 32;
             }
             for expert in 0..experts {
@@ -206,12 +216,12 @@
         }
     }
 
-    /// Keeps what a request looked like.
+    /// Records a request that is executed.
     pub fn record_request(&self, request: Value) {
         self.lock().requests.push(request);
     }
 
-    /// A server ends under a request with that body: its group breaks.
+    /// Records that a server ended while it ran a request with that body, and breaks the group.
     pub fn record_end(&self, server: &str, body: &str) {
         let mut state = self.lock();
         state.open = false;
@@ -220,35 +230,36 @@
         state.ends.push(end);
     }
 
-    /// A request reached the run of a server that it was meant for. Returns the time after which to come back, as the
-    /// header says it, where the request is to be refused.
+    /// Records that a request reached the run of a server that it was meant for.
+    ///
+    /// Returns the value of `Retry-After`, which may be empty, if the request is to be rejected.
     pub fn record_arrival(&self, server: &str, request: &str) -> Option<String> {
         self.lock().record_arrival(server, request)
     }
 
-    /// What a server says of itself in its answer to a request.
+    /// Returns the state that a server reports in its response to a request, and records it.
     pub fn notice(&self, server: &str, request: &str) -> Notice {
         self.lock().notice(server, request)
     }
 
-    /// Whether a server says that it leaves.
+    /// Returns whether a server is leaving.
     pub fn is_leaving(&self, server: &str) -> bool {
         self.lock().leaving.contains(server)
     }
 
-    /// A server that had ended is back; a lock-step group forms anew.
+    /// Records that a server restarted. A lock-step group re-forms.
     pub fn restart(&self, server: &str, lockstep: bool) {
         let mut state = self.lock();
-        state.start(server);
+        state.clear_reported(server);
         for end in state.ends.iter_mut().filter(|end| end["server"] == server) {
             end["back"] = json!(true);
         }
         if lockstep {
-            state.form();
+            state.form_epoch();
         }
     }
 
-    /// Report of a rank.
+    /// Returns the report of a rank.
     pub fn report(&self, rank: usize) -> Value {
         let state = self.lock();
         let own = &state.ranks[rank];
@@ -273,7 +284,7 @@
         })
     }
 
-    /// Counts of a rank, or the experts that it holds.
+    /// Returns the expert counts of a rank, or its experts if `lists` is set.
     pub fn picked(&self, rank: usize, lists: bool) -> Value {
         let state = self.lock();
         let own = &state.ranks[rank];
@@ -288,38 +299,38 @@
         })
     }
 
-    /// Takes an order; `None` where it gets no answer.
+    /// Executes an order and returns the response status, or `None` if the order is not answered.
     pub async fn order(&self, rank: usize, order: Order) -> Option<u16> {
-        let fate = self.lock().fate();
-        match fate {
-            Fate::Answered => {}
-            Fate::Lost => return None,
-            Fate::Late => {
+        let delivery = self.lock().next_delivery();
+        match delivery {
+            Delivery::Answered => {}
+            Delivery::Lost => return None,
+            Delivery::Late => {
                 let group = self.clone();
                 tokio::spawn(async move {
-                    tokio::time::sleep(LATE).await;
-                    group.take(rank, &order);
+                    tokio::time::sleep(LATE_DELAY).await;
+                    group.apply(rank, &order);
                 });
                 return None;
             }
         }
-        Some(self.take(rank, &order))
+        Some(self.apply(rank, &order))
     }
 
-    fn take(&self, rank: usize, order: &Order) -> u16 {
+    fn apply(&self, rank: usize, order: &Order) -> u16 {
         let prepared = {
             let mut state = self.lock();
             if order.op == "prepare" {
                 state.check_prepare(rank, order)
             } else {
-                return state.take(rank, order);
+                return state.apply(rank, order);
             }
         };
         let Ok(map) = prepared else { return 409 };
         let group = self.clone();
         let epoch = order.epoch;
         tokio::spawn(async move {
-            tokio::time::sleep(COPY).await;
+            tokio::time::sleep(COPY_TIME).await;
             let mut state = group.lock();
             if epoch == Some(state.epoch) && state.ranks[rank].highest == map.version {
                 state.ranks[rank].prepared = Some(map);
@@ -328,7 +339,7 @@
         202
     }
 
-    /// Answers a call to the control address.
+    /// Handles a call to the control address.
     pub fn control(&self, path: &str, query: &BTreeMap<String, String>) -> Value {
         let mut state = self.lock();
         let number = |name: &str| query.get(name).and_then(|text| text.parse().ok()).unwrap_or(0);
@@ -336,7 +347,7 @@
             "/orders" => (state.lost, state.late) = (number("lost"), number("late")),
             "/popular" => state.popular = number("expert") as u16,
             "/break" => state.open = false,
-            "/mend" => state.form(),
+            "/mend" => state.form_epoch(),
             "/shed" => state.set_shed(query),
             "/leave" => state.set_leaving(query),
             "/limit" => state.set_limit(query),
@@ -357,7 +368,8 @@
     }
 }
 
-enum Fate {
+/// How an order is delivered.
+enum Delivery {
     Answered,
     Lost,
     Late,
@@ -380,7 +392,7 @@
         if query.get("on").is_some_and(|on| on == "1") {
             self.leaving.insert(server.clone());
         } else {
-            self.start(server);
+            self.clear_reported(server);
         }
     }
 
@@ -392,16 +404,16 @@
         };
     }
 
-    /// A server starts again: what it said before is over.
-    fn start(&mut self, server: &str) {
+    /// Records a restart of a server, which clears what its earlier run reported.
+    fn clear_reported(&mut self, server: &str) {
         self.leaving.remove(server);
         self.limits.remove(server);
         *self.starts.entry(server.to_owned()).or_default() += 1;
     }
 
     fn record_arrival(&mut self, server: &str, request: &str) -> Option<String> {
-        let own = if self.sheds.contains_key(server) { server } else { ALL };
-        let shed = self.sheds.get_mut(own).and_then(|shed| {
+        let key = if self.sheds.contains_key(server) { server } else { ALL };
+        let shed = self.sheds.get_mut(key).and_then(|shed| {
             shed.count += 1;
             shed.count.is_multiple_of(shed.each).then(|| shed.rest.clone())
         });
@@ -414,8 +426,8 @@
         shed
     }
 
-    /// What a server says of itself in its answer to a request, which is kept with the
-    /// request's visit.
+    /// Returns the state that a server reports in its response to a request, and records it with
+    /// that request's visit.
     fn notice(&mut self, server: &str, request: &str) -> Notice {
         let leaving = self.leaving.contains(server);
         let limit = self.limits.get(server).cloned();
@@ -428,20 +440,21 @@
         Notice { leaving, limit }
     }
 
-    fn form(&mut self) {
+    /// Forms the group in its next epoch, with the initial even map.
+    fn form_epoch(&mut self) {
         let ranks = self.ranks.len();
         self.epoch += 1;
         self.open = true;
         for (rank, own) in self.ranks.iter_mut().enumerate() {
             let counts = std::mem::take(&mut own.counts);
             let active = own.active;
-            let map = Map { experts: dealt(rank, ranks), ..Map::default() };
+            let map = Map { experts: round_robin(rank, ranks), ..Map::default() };
             *own = Rank { map, counts, active, ..Rank::default() };
             own.counts.resize(SHAPE.0 * SHAPE.1, 0);
         }
     }
 
-    /// Begins a pass, unless one is held or nothing runs.
+    /// Begins the next pass, unless it is held, no request runs or the group is broken.
     fn begin_pass(&mut self) -> bool {
         let next = self.pass + 1;
         let active = self.ranks.iter().any(|rank| rank.active > 0);
@@ -452,45 +465,46 @@
         for rank in &mut self.ranks {
             if rank.armed.is_some_and(|(_, at)| at == next) {
                 rank.armed = None;
-                rank.map = rank.prepared.take().expect("an armed rank is prepared");
+                rank.map = rank.prepared.take().expect("an armed rank has a prepared map");
                 self.switches += 1;
             }
         }
-        // Maps are compared to the letter: two of one version may differ too.
+        // Compares contents too: two maps of the same version may differ.
         let maps: BTreeSet<(u64, u64)> =
             self.ranks.iter().map(|rank| (rank.map.version, rank.map.content)).collect();
         self.violations += u64::from(maps.len() > 1);
         true
     }
 
-    fn fate(&mut self) -> Fate {
-        self.given += 1;
-        let each = |nth: u64| nth > 0 && self.given.is_multiple_of(nth);
+    fn next_delivery(&mut self) -> Delivery {
+        self.received += 1;
+        let each = |nth: u64| nth > 0 && self.received.is_multiple_of(nth);
         match () {
-            () if each(self.lost) => Fate::Lost,
-            () if each(self.late) => Fate::Late,
-            () => Fate::Answered,
+            () if each(self.lost) => Delivery::Lost,
+            () if each(self.late) => Delivery::Late,
+            () => Delivery::Answered,
         }
     }
 
-    fn fits(&self, rank: usize, order: &Order) -> bool {
+    /// Returns whether an order matches the open group's epoch and the rank's order sequence.
+    fn is_current(&self, rank: usize, order: &Order) -> bool {
         let epoch = order.epoch.is_none_or(|epoch| epoch == self.epoch);
         let own = &self.ranks[rank];
         epoch && self.open && order.expected_rev.is_none_or(|orders| orders == own.orders)
     }
 
     fn check_prepare(&mut self, rank: usize, order: &Order) -> Result<Map, ()> {
-        let fits = self.fits(rank, order);
+        let current = self.is_current(rank, order);
         let (.., placements, spare) = SHAPE;
         let own = &mut self.ranks[rank];
         let version = order.version.unwrap_or(0);
         let map = order.map.as_ref().ok_or(())?;
         let experts: Experts = map.iter().map(|set| set[rank].clone()).collect();
         let within = experts.iter().zip(&own.map.experts).all(|(new, old)| {
-            let taken = new.iter().filter(|expert| !old.contains(expert)).count();
-            new.len() <= placements && taken <= spare
+            let added = new.iter().filter(|expert| !old.contains(expert)).count();
+            new.len() <= placements && added <= spare
         });
-        if !fits || !within || version <= own.highest || own.armed.is_some() {
+        if !current || !within || version <= own.highest || own.armed.is_some() {
             return Err(());
         }
         own.highest = version;
@@ -500,31 +514,31 @@
         Ok(Map { version, experts, content: hasher.finish() })
     }
 
-    fn take(&mut self, rank: usize, order: &Order) -> u16 {
-        let fits = self.fits(rank, order);
+    fn apply(&mut self, rank: usize, order: &Order) -> u16 {
+        let current = self.is_current(rank, order);
         let pass = self.pass;
         let own = &mut self.ranks[rank];
         let version = order.version.unwrap_or(0);
         let step = order.step.unwrap_or(0);
-        if !fits {
+        if !current {
             return 409;
         }
         let accepted = match order.op.as_str() {
             "arm" => {
-                let fits =
+                let accepted =
                     own.prepared.as_ref().is_some_and(|p| p.version == version) && step > pass;
-                own.armed = if fits { Some((version, step)) } else { own.armed };
-                fits
+                own.armed = if accepted { Some((version, step)) } else { own.armed };
+                accepted
             }
             "disarm" => {
-                let fits = own.armed.is_some_and(|(armed, _)| armed == version);
-                own.armed = if fits { None } else { own.armed };
-                fits
+                let accepted = own.armed.is_some_and(|(armed, _)| armed == version);
+                own.armed = if accepted { None } else { own.armed };
+                accepted
             }
             "hold" => {
-                let fits = step > pass && own.held.is_none_or(|held| held == step);
-                own.held = if fits { Some(step) } else { own.held };
-                fits
+                let accepted = step > pass && own.held.is_none_or(|held| held == step);
+                own.held = if accepted { Some(step) } else { own.held };
+                accepted
             }
             "go" => {
                 own.held = own.held.filter(|held| *held != step);
