--- a/standins/src/worker.rs
+++ b/standins/src/worker.rs
@@ -1,13 +1,17 @@
-//! How one backend server of the stand-in group answers requests.
+//! One backend server of the stand-in group.
 //!
-//! Headers of a request say what is to happen to it: `x-standin-events: N`
-//! (answer with a stream of N events), `x-standin-break: N` (break off behind
-//! the Nth event, but not where the stream is resumed), `x-standin-lose`
-//! (end without an answer), `x-standin-status: N`, `x-standin-foreign` (an
-//! answer that names another request), `x-standin-delay-ms: N`,
-//! `x-standin-end-ms: N` (the server ends N ms after it has begun the request,
-//! and starts again under its id after [`RESTART_DELAY`]; its port outlives its connections
-//! by `x-standin-linger-ms`).
+//! Headers of a request control how it is handled:
+//!
+//! - `x-standin-events: N`: answers with a stream of N events.
+//! - `x-standin-break: N`: aborts the stream within the Nth event, unless the stream is resumed.
+//! - `x-standin-lose`: closes the connection without a response.
+//! - `x-standin-status: N`: answers with status N.
+//! - `x-standin-foreign`: answers with the id of another request.
+//! - `x-standin-delay-ms: N`: delays the response by N ms.
+//! - `x-standin-end-ms: N`: the server ends N ms after it has begun the request, and restarts under
+//!   its id after [`RESTART_DELAY`].
+//! - `x-standin-linger-ms: N`: with `x-standin-end-ms`, the port stays open for N ms after the
+//!   connections were closed.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -24,45 +28,45 @@
 use crate::group::Group;
 use crate::server;
 
-/// How long a server is away that has ended.
+/// Time between the end of a server and its restart.
 pub const RESTART_DELAY: Duration = Duration::from_millis(700);
 
 /// One backend server.
 #[derive(Clone)]
 pub struct Worker {
-    /// Its group.
+    /// Group of the server.
     pub group: Group,
-    /// Its rank.
+    /// Rank within the group.
     pub rank: usize,
-    /// Id of its run.
+    /// Id of the server, which is the same in all its runs.
     pub id: Arc<str>,
-    /// Its address.
+    /// Address of the server.
     pub address: Arc<str>,
-    /// Whether it is a rank of a lock-step group.
+    /// Whether the server is a rank of a lock-step group.
     pub lockstep: bool,
-    /// How often it has ended, and for how long its port is open after the last
-    /// time.
+    /// Number of times that the server has ended, and time that its port stays open after the last
+    /// end.
     pub ends: watch::Sender<(u64, Duration)>,
 }
 
 type Body = combinators::BoxBody<Bytes, std::io::Error>;
-/// No answer: the connection is closed.
-type Dropped = std::io::Error;
+/// Error that closes the connection without a response.
+type NoResponse = std::io::Error;
 
-/// A request that a rank is at work on, until it is dropped.
-struct Work<'a> {
+/// A guard that counts an active request of a rank until it is dropped.
+struct Active<'a> {
     group: &'a Group,
     rank: usize,
 }
 
-impl<'a> Work<'a> {
-    fn begin(group: &'a Group, rank: usize) -> Work<'a> {
+impl<'a> Active<'a> {
+    fn begin(group: &'a Group, rank: usize) -> Active<'a> {
         group.adjust_active(rank, 1);
-        Work { group, rank }
+        Active { group, rank }
     }
 }
 
-impl Drop for Work<'_> {
+impl Drop for Active<'_> {
     fn drop(&mut self) {
         self.group.adjust_active(self.rank, -1);
     }
@@ -76,23 +80,25 @@
     text(headers, name)?.parse().ok()
 }
 
-fn dropped() -> Dropped {
-    std::io::Error::other("the stand-in gives no answer")
+fn no_response() -> NoResponse {
+    std::io::Error::other("the stand-in closes the connection without a response")
 }
 
 impl Worker {
-    /// Serves at its address, from one start to the next, until the process ends.
+    /// Serves at the server's address, one run after the other. Never returns.
     pub async fn run(self, mut listener: TcpListener) {
         loop {
-            self.live(listener).await;
+            self.serve_run(listener).await;
             tokio::time::sleep(RESTART_DELAY).await;
-            listener = TcpListener::bind(&*self.address).await.expect("its address is its own");
+            listener = TcpListener::bind(&*self.address)
+                .await
+                .expect("no other process uses the server's address");
             self.group.restart(&self.id, self.lockstep);
         }
     }
 
-    /// Serves until it ends, which closes all its connections.
-    async fn live(&self, listener: TcpListener) {
+    /// Serves until the server ends, and then closes all its connections.
+    async fn serve_run(&self, listener: TcpListener) {
         let mut ended = self.ends.subscribe();
         let cut = watch::Sender::new(());
         loop {
@@ -110,7 +116,7 @@
                 let http = hyper::server::conn::http1::Builder::new();
                 tokio::select! {
                     _ = ended.changed() => {}
-                    // A connection that the worker drops ends here.
+                    // Also ends if the handler closes the connection without a response.
                     _ = http.serve_connection(TokioIo::new(stream), service) => {}
                 }
             });
@@ -125,7 +131,7 @@
         }
     }
 
-    /// Ends some time after a request began that ends whoever runs it.
+    /// Ends the server after `time`, as the effect of the request with that body.
     fn end_after(&self, time: Duration, linger: Duration, body: &[u8]) {
         let (worker, body) = (self.clone(), String::from_utf8_lossy(body).into_owned());
         tokio::spawn(async move {
@@ -135,15 +141,15 @@
         });
     }
 
-    /// Answers one request.
+    /// Handles one request.
     ///
     /// # Errors
     ///
-    /// Where it is to give no answer.
+    /// Returns an error if the request is to get no response.
     pub async fn handle(
         self,
         request: http::Request<Incoming>,
-    ) -> Result<http::Response<Body>, Dropped> {
+    ) -> Result<http::Response<Body>, NoResponse> {
         let (head, body) = request.into_parts();
         let body = server::read(body).await;
         match head.uri.path() {
@@ -156,11 +162,11 @@
                 let Ok(order) = serde_json::from_slice(&body) else {
                     return Ok(server::text(400, "no such order"));
                 };
-                let status = self.group.order(self.rank, order).await.ok_or_else(dropped)?;
+                let status = self.group.order(self.rank, order).await.ok_or_else(no_response)?;
                 Ok(server::text(status, ""))
             }
             "/healthz" => self.health(),
-            _ => self.serve(&head, body).await,
+            _ => self.execute(&head, body).await,
         }
     }
 
@@ -181,8 +187,8 @@
         }
     }
 
-    /// Answers a health check.
-    fn health(&self) -> Result<http::Response<Body>, Dropped> {
+    /// Handles a health check.
+    fn health(&self) -> Result<http::Response<Body>, NoResponse> {
         let answer = http::Response::builder().header("x-instance-id", &*self.id);
         let answer = match self.group.is_leaving(&self.id) {
             true => answer.status(503).header("server-leaving", "1"),
@@ -191,22 +197,23 @@
         answer.body(empty()).map_err(std::io::Error::other)
     }
 
-    /// Refuses a request, with the time after which to come back.
+    /// Rejects a request with `Retry-After`, or without it if `rest` is empty.
     fn shed(
         &self,
         head: &http::request::Parts,
         rest: &str,
-    ) -> Result<http::Response<Body>, Dropped> {
+    ) -> Result<http::Response<Body>, NoResponse> {
         let answer = self.answer(head, 503).header("x-not-executed", "1");
         let answer = if rest.is_empty() { answer } else { answer.header("retry-after", rest) };
         answer.body(empty()).map_err(std::io::Error::other)
     }
 
+    /// Rejects a request as not executed.
     fn not_run(
         &self,
         head: &http::request::Parts,
         status: u16,
-    ) -> Result<http::Response<Body>, Dropped> {
+    ) -> Result<http::Response<Body>, NoResponse> {
         let answer = self.answer(head, status).header("x-not-executed", "1");
         let answer = if self.lockstep && status == 503 {
             answer.header("at-server", &*self.address)
@@ -216,11 +223,11 @@
         answer.body(empty()).map_err(std::io::Error::other)
     }
 
-    async fn serve(
+    async fn execute(
         &self,
         head: &http::request::Parts,
         body: Bytes,
-    ) -> Result<http::Response<Body>, Dropped> {
+    ) -> Result<http::Response<Body>, NoResponse> {
         let headers = &head.headers;
         let expected = text(headers, "x-expect-instance");
         if expected.is_some_and(|id| *id != *self.id) {
@@ -233,14 +240,14 @@
         if self.lockstep && !self.group.is_open() {
             return self.not_run(head, 503);
         }
-        let kept: BTreeMap<&str, &str> = headers
+        let recorded: BTreeMap<&str, &str> = headers
             .iter()
             .filter_map(|(name, value)| Some((name.as_str(), value.to_str().ok()?)))
             .collect();
         self.group.record_request(json!({
             "server": &*self.id,
             "path": head.uri.path(),
-            "headers": kept,
+            "headers": recorded,
             "body": String::from_utf8_lossy(&body),
         }));
         if let Some(ms) = number(headers, "x-standin-end-ms") {
@@ -248,11 +255,11 @@
             self.end_after(Duration::from_millis(ms), Duration::from_millis(linger), &body);
         }
         if let Some(delay) = number(headers, "x-standin-delay-ms") {
-            let _work = Work::begin(&self.group, self.rank);
+            let _active = Active::begin(&self.group, self.rank);
             tokio::time::sleep(Duration::from_millis(delay)).await;
         }
         if headers.contains_key("x-standin-lose") {
-            return Err(dropped());
+            return Err(no_response());
         }
         if let Some(events) = number(headers, "x-standin-events") {
             return self.stream(head, events);
@@ -266,7 +273,7 @@
         &self,
         head: &http::request::Parts,
         events: u64,
-    ) -> Result<http::Response<Body>, Dropped> {
+    ) -> Result<http::Response<Body>, NoResponse> {
         let resumed = number(&head.headers, "last-event-id");
         let first = resumed.map_or(1, |last| last + 1);
         let end = number(&head.headers, "x-standin-break").filter(|_| resumed.is_none());
@@ -276,7 +283,7 @@
             worker.group.adjust_active(worker.rank, 1);
             let mut passes = worker.group.passes();
             for event in first..=events {
-                // A plain server needs no pass.
+                // Only a rank of a lock-step group waits for passes.
                 if worker.lockstep {
                     passes.changed().await.ok();
                 }
@@ -287,12 +294,15 @@
                 } else {
                     format!("id: {event}\ndata: piece {event}\n\n")
                 };
-                let mut gone = sender.send(Ok(text.into())).await.is_err();
+                let mut closed = sender.send(Ok(text.into())).await.is_err();
                 if broken {
-                    sender.send(Err(std::io::Error::other("broken off"))).await.ok();
-                    gone = true;
+                    sender
+                        .send(Err(std::io::Error::other("the stand-in aborted the response")))
+                        .await
+                        .ok();
+                    closed = true;
                 }
-                if gone {
+                if closed {
                     break;
                 }
             }
