--- a/standins/src/store.rs
+++ b/standins/src/store.rs
@@ -1,13 +1,20 @@
-//! A stand-in for the platform's key-value store, with faults.
+//! A stand-in for the platform's key-value store, with fault injection.
 //!
-//! Besides the protocol, for tests: `PUT /standin/put?key=K` and
-//! `DELETE /standin/put?key=K` write and remove a key as the platform itself
-//! would, `PUT /standin/hosts` sets the host list (a JSON list),
-//! `PUT /standin/fault/NAME` sets a [`Fault`], `PUT /standin/deny?from=IP`
-//! rejects one caller (`allow` takes it back), `PUT /standin/compact`
-//! forgets the history, `PUT /standin/copy` takes a copy of everything, `PUT
-//! /standin/restore` has the store come back from it, which begins its next era, and
-//! `GET /standin/calls` tells how many calls came.
+//! Besides the platform's protocol, it takes control calls from tests:
+//!
+//! - `PUT /standin/put?key=K` and `DELETE /standin/put?key=K`: write and remove a key as the
+//!   platform itself would.
+//! - `PUT /standin/hosts`: sets the host list, a JSON list.
+//! - `PUT /standin/fault/NAME`: sets a [`Fault`].
+//! - `PUT /standin/deny?from=IP`: rejects all calls from one address. `PUT /standin/allow` accepts
+//!   calls from all addresses again.
+//! - `PUT /standin/compact`: drops the history.
+//! - `PUT /standin/copy`: saves a copy of the content. `PUT /standin/restore` restores the store
+//!   from it, which begins the next era.
+//! - `GET /standin/calls`: returns the number of protocol calls received.
+//!
+//! An *era* is the number of times that the store was restored from a copy. Revisions of different
+//! eras are not comparable.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{IpAddr, SocketAddr};
@@ -24,27 +31,27 @@
 
 use crate::server;
 
-/// Items of one page; small, so that tests meet several pages.
-const PAGE: usize = 20;
-/// Header that tells the era.
+/// Maximum number of items on a page. It is small, so that tests cover several pages.
+const PAGE_ITEMS: usize = 20;
+/// Response header with the era.
 const STORE_ERA: &str = "store-era";
-/// Largest value, bytes.
+/// Maximum size of a value, bytes.
 const MAX_VALUE: usize = 1_048_576;
 
-/// How the stand-in misbehaves.
+/// An injected fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Fault {
-    /// Not at all.
+    /// No fault.
     #[default]
     None,
-    /// Refuses every call and does nothing.
+    /// Rejects every call without executing it.
     Down,
-    /// Neither does nor ever answers a call that comes meanwhile, and leaves its
-    /// connection open. Watches that wait already are answered.
+    /// Neither executes nor answers the calls that arrive while the fault is set, and leaves their
+    /// connections open. Watches that were already waiting are answered.
     Silent,
-    /// Waits for 1.5 s before each call.
+    /// Delays each call by 1.5 s.
     Slow,
-    /// Does the next write and loses its answer.
+    /// Executes the next write and loses its response.
     LoseWrite,
 }
 
@@ -56,14 +63,14 @@
     lease: u64,
 }
 
-/// What a copy has.
+/// Content of the store, which a copy saves.
 #[derive(Clone, Default)]
 struct Content {
     revision: u64,
     items: BTreeMap<String, Item>,
-    /// Changes by revision: the item as JSON.
+    /// Changes by revision: the key, and the item as JSON.
     history: BTreeMap<u64, (String, Value)>,
-    /// Revisions up to this one are no longer in the history.
+    /// Last revision that was dropped from the history.
     compacted: u64,
     leases: BTreeMap<u64, (Duration, Instant)>,
 }
@@ -72,14 +79,14 @@
 struct State {
     content: Content,
     copy: Content,
-    /// Times that the store came back from a copy.
+    /// Number of times that the store was restored from a copy.
     era: u64,
     fault: Fault,
     denied: BTreeSet<IpAddr>,
     calls: u64,
 }
 
-/// The stand-in.
+/// A stand-in for the platform's store.
 #[derive(Clone)]
 pub struct Store {
     state: Arc<Mutex<State>>,
@@ -92,12 +99,12 @@
     }
 }
 
-/// Names and values of a query.
+/// Names and values of a query string.
 pub type Query = BTreeMap<String, String>;
 type Response = http::Response<server::Body>;
 
 impl Store {
-    /// Answers one call; each answer tells the era in which it was made.
+    /// Handles one call. Each response carries the store's era.
     pub async fn handle(self, request: http::Request<Incoming>) -> Response {
         let store = self.clone();
         let mut answer = self.answer(request).await;
@@ -126,13 +133,13 @@
         self.lock().expire();
         let tail = path.rsplit('/').next().unwrap_or_default().to_owned();
         match path.as_str() {
-            "/v1/kv-key" => self.lock().key(&query),
+            "/v1/kv-key" => self.lock().get(&query),
             "/v1/kv-range" => self.lock().range(&query),
             "/v1/kv-watch" => self.watch(&query).await,
             "/v1/kv-txn" => self.transact(&body),
             "/v1/kv-lease" => self.lock().grant(&body),
-            _ if path.starts_with("/v1/kv-keep/") => self.lock().keep(&tail),
-            _ if path.starts_with("/v1/kv-lease-end/") => self.end(&tail),
+            _ if path.starts_with("/v1/kv-keep/") => self.lock().renew(&tail),
+            _ if path.starts_with("/v1/kv-lease-end/") => self.revoke(&tail),
             _ => server::text(404, "no such path"),
         }
     }
@@ -141,6 +148,7 @@
         self.state.lock().expect("no holder of the stand-in's lock panics")
     }
 
+    /// Counts a call and returns the fault that applies to it.
     fn count(&self, caller: Option<IpAddr>) -> Fault {
         let mut state = self.lock();
         state.calls += 1;
@@ -156,7 +164,7 @@
         let mut changed = self.changed.subscribe();
         let era = self.lock().era;
         loop {
-            let over = Instant::now() >= until;
+            let timed_out = Instant::now() >= until;
             {
                 let mut state = self.lock();
                 state.expire();
@@ -167,9 +175,9 @@
                     return server::text(410, "history is gone");
                 }
                 let later = state.history.range(after + 1..);
-                let fitting = later.filter(|(_, (key, _))| key.starts_with(&prefix));
-                let events: Vec<Value> = fitting.map(|(_, (_, event))| event.clone()).collect();
-                if over || !events.is_empty() {
+                let matching = later.filter(|(_, (key, _))| key.starts_with(&prefix));
+                let events: Vec<Value> = matching.map(|(_, (_, event))| event.clone()).collect();
+                if timed_out || !events.is_empty() {
                     let revision = state.revision;
                     return server::json(
                         200,
@@ -177,9 +185,9 @@
                     );
                 }
             }
-            // Leases lapse without anybody's call.
-            let soon = (Instant::now() + Duration::from_millis(50)).min(until);
-            tokio::time::timeout_at(soon, changed.changed()).await.ok();
+            // Leases expire without a call, so the store is polled.
+            let poll_at = (Instant::now() + Duration::from_millis(50)).min(until);
+            tokio::time::timeout_at(poll_at, changed.changed()).await.ok();
         }
     }
 
@@ -195,7 +203,7 @@
         if lose { server::text(500, "answer lost") } else { answer }
     }
 
-    fn end(&self, id: &str) -> Response {
+    fn revoke(&self, id: &str) -> Response {
         let mut state = self.lock();
         let known = id.parse().ok().and_then(|id: u64| state.leases.remove(&id).map(|_| id));
         if let Some(id) = known {
@@ -266,8 +274,8 @@
         let key = |host: &Value| format!("hosts/{}", host["id"].as_str().unwrap_or_default());
         let wanted: BTreeSet<String> = hosts.iter().map(key).collect();
         let known = self.items.keys().filter(|key| key.starts_with("hosts/"));
-        let gone: Vec<String> = known.filter(|key| !wanted.contains(*key)).cloned().collect();
-        gone.iter().for_each(|key| self.remove(key));
+        let removed: Vec<String> = known.filter(|key| !wanted.contains(*key)).cloned().collect();
+        removed.iter().for_each(|key| self.remove(key));
         for host in &hosts {
             self.put(key(host), host.to_string().into(), 0);
         }
@@ -303,7 +311,7 @@
         })
     }
 
-    fn key(&self, query: &Query) -> Response {
+    fn get(&self, query: &Query) -> Response {
         let key = query.get("private_key").map(String::as_str).unwrap_or_default();
         if !self.items.contains_key(key) {
             return server::text(404, "");
@@ -316,10 +324,10 @@
     fn range(&self, query: &Query) -> Response {
         let prefix = query.get("path_prefix").cloned().unwrap_or_default();
         let after = query.get("after_rev").cloned().unwrap_or_default();
-        let within = self.items.keys().filter(|key| key.starts_with(&prefix) && **key > after);
-        let mut keys: Vec<&String> = within.take(PAGE + 1).collect();
-        let more = keys.len() > PAGE;
-        keys.truncate(PAGE);
+        let matching = self.items.keys().filter(|key| key.starts_with(&prefix) && **key > after);
+        let mut keys: Vec<&String> = matching.take(PAGE_ITEMS + 1).collect();
+        let more = keys.len() > PAGE_ITEMS;
+        keys.truncate(PAGE_ITEMS);
         let items: Vec<Value> = keys.into_iter().map(|key| self.json(key)).collect();
         let revision = self.revision;
         server::json(200, &json!({ "items": items, "has_more": more, "store_revision": revision }))
@@ -328,12 +336,12 @@
     fn transact(&mut self, body: &Bytes) -> Response {
         let call: Value = serde_json::from_slice(body).unwrap_or_default();
         let rows = |name: &str| call[name].as_array().cloned().unwrap_or_default();
-        let met = rows("expected_rev").iter().all(|row| {
+        let expected = rows("expected_rev").iter().all(|row| {
             let key = row["private_key"].as_str().unwrap_or_default();
             let revision = self.items.get(key).map_or(0, |item| item.revision);
             row["revision"] == revision
         });
-        if !met {
+        if !expected {
             return server::json(412, &json!({ "items": [] }));
         }
         let leases = rows("puts").iter().map(|put| put["lease"].as_u64().unwrap_or(0)).collect();
@@ -365,24 +373,29 @@
         server::json(200, &json!({ "lease": id, "ttl_ms": ttl.as_millis() as u64 }))
     }
 
-    fn keep(&mut self, id: &str) -> Response {
+    fn renew(&mut self, id: &str) -> Response {
         let lease = id.parse().ok().and_then(|id: u64| self.leases.get_mut(&id));
-        let Some((ttl, due)) = lease else { return server::text(404, "no such lease") };
-        *due = Instant::now() + *ttl;
+        let Some((ttl, expires_at)) = lease else { return server::text(404, "no such lease") };
+        *expires_at = Instant::now() + *ttl;
         server::json(200, &json!({ "ttl_ms": ttl.as_millis() as u64 }))
     }
 
-    /// Ends the leases whose time is over.
+    /// Removes the expired leases and their items.
     fn expire(&mut self) {
         let now = Instant::now();
-        let over: Vec<u64> =
-            self.leases.iter().filter(|(_, (_, due))| *due <= now).map(|(id, _)| *id).collect();
-        for id in over {
+        let expired: Vec<u64> = self
+            .leases
+            .iter()
+            .filter(|(_, (_, expires_at))| *expires_at <= now)
+            .map(|(id, _)| *id)
+            .collect();
+        for id in expired {
             self.leases.remove(&id);
             self.drop_lease(id);
         }
     }
 
+    /// Removes the items that are bound to a lease.
     fn drop_lease(&mut self, id: u64) {
         let bound = self.items.iter().filter(|(_, item)| item.lease == id);
         let keys: Vec<String> = bound.map(|(key, _)| key.clone()).collect();
@@ -390,7 +403,7 @@
     }
 }
 
-/// The pairs of a query.
+/// Parses a query string, without percent-decoding.
 pub fn parse_query(text: &str) -> Query {
     let pairs = text.split('&').filter(|pair| !pair.is_empty());
     pairs
