--- a/standins/src/bin/fault-proxy.rs
+++ b/standins/src/bin/fault-proxy.rs
@@ -1,4 +1,4 @@
-//! The fault-injecting proxy; see the module `proxy` for its lines.
+//! The fault-injecting proxy; see the module `proxy` for its commands.
 
 use loftcove_standins::proxy;
 use tokio::io::{AsyncBufReadExt as _, BufReader};
--- a/standins/src/proxy.rs
+++ b/standins/src/proxy.rs
@@ -1,15 +1,15 @@
 //! A fault-injecting TCP proxy between any two processes.
 //!
-//! Lines on standard input control it; each is confirmed by one line:
+//! It reads commands from standard input, one per line, and answers each by one line:
 //!
-//! - `source ZONE IP`: connections from that address come from the zone.
-//! - `target LABEL ZONE ADDRESS [LISTEN]`: opens a port before the address, at
-//!   the address LISTEN if given; answers `listening PORT-ADDRESS`.
-//! - `link FROM TO FAULT`: sets the [`Fault`] of connections from a zone (or
-//!   `*`) to a label or a zone (or `*`).
+//! - `source ZONE IP`: assigns connections from that address to the zone.
+//! - `target LABEL ZONE ADDRESS [LISTEN]`: opens a port that forwards to the address, at the
+//!   address LISTEN if given; answers `listening PORT-ADDRESS`.
+//! - `link FROM TO FAULT`: sets the [`Fault`] of connections from a zone (or `*`) to a label or a
+//!   zone (or `*`).
 //!
-//! A target that has ended takes no connection, and neither does the proxy
-//! before it: it closes its port before the connections that the end broke.
+//! A target that has ended accepts no connection, so its port at the proxy accepts none either: the
+//! proxy closes the port before it closes the connections that broke when the target ended.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
@@ -21,24 +21,24 @@
 use tokio::net::{TcpListener, TcpStream, tcp};
 use tokio::sync::{Notify, watch};
 
-/// What the proxy does to traffic.
+/// What the proxy does to connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// Passes everything on.
+    /// Forwards everything.
     None,
-    /// Delays each part by that time.
+    /// Delays each chunk by that time.
     Delay(Duration),
-    /// Closes every connection and takes no new one.
+    /// Closes every connection, and each new one when it is accepted.
     Cut,
-    /// The same by resets.
+    /// Same as [`Fault::Cut`], by resets.
     Reset,
-    /// Passes requests on and drops answers, those that come later on the same
-    /// connection as well.
+    /// Forwards requests and drops responses. A connection that has lost a response also drops all
+    /// later ones.
     LoseAnswers,
-    /// Holds everything, both ways, until another fault is set.
+    /// Stops forwarding in both directions until another fault is set.
     Freeze,
-    /// Drops everything, both ways and for good, on the connections that are open
-    /// when this is set, and leaves them open. New ones pass.
+    /// Permanently drops everything in both directions on the connections that are open when this
+    /// is set, and leaves them open. Later connections are not affected.
     Silence,
 }
 
@@ -47,7 +47,8 @@
 
     fn from_str(text: &str) -> Result<Fault, String> {
         if let Some(ms) = text.strip_prefix("delay=") {
-            let ms = ms.parse().map_err(|_| format!("not a time: {ms}"))?;
+            let ms =
+                ms.parse().map_err(|_| format!("invalid delay, expected milliseconds: {ms}"))?;
             return Ok(Fault::Delay(Duration::from_millis(ms)));
         }
         match text {
@@ -57,23 +58,23 @@
             "lose-answers" => Ok(Fault::LoseAnswers),
             "freeze" => Ok(Fault::Freeze),
             "silence" => Ok(Fault::Silence),
-            other => Err(format!("not a fault: {other}")),
+            other => Err(format!("unknown fault: {other}")),
         }
     }
 }
 
-/// Which way a part goes.
+/// Direction in which a chunk is forwarded.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Way {
+enum Direction {
     Request,
-    Answer,
+    Response,
 }
 
-/// From where, to where, and what is done.
+/// Source zone, target label or zone, and fault.
 type Rule = (String, String, Fault);
 type Rules = Vec<Rule>;
 
-/// The proxy.
+/// A fault-injecting TCP proxy.
 #[derive(Clone)]
 pub struct Proxy {
     sources: Arc<Mutex<BTreeMap<IpAddr, String>>>,
@@ -86,7 +87,7 @@
     }
 }
 
-/// Where a connection goes.
+/// Target of a connection.
 #[derive(Clone)]
 struct Target {
     label: String,
@@ -94,13 +95,13 @@
     address: SocketAddr,
 }
 
-/// One connection's view of the rules.
+/// Rules as they apply to one connection.
 #[derive(Clone)]
 struct Link {
     from: String,
     target: Target,
-    /// Rules that were set before the connection was opened.
-    before: usize,
+    /// Number of rules that were set before the connection was opened.
+    rules_at_open: usize,
     rules: watch::Receiver<Rules>,
 }
 
@@ -111,27 +112,29 @@
         from_fits && to_fits
     }
 
-    /// The last rule that matches. One that silences is for the connections of
-    /// its time alone; see [`Link::silenced`].
+    /// Returns the fault of the last matching rule other than [`Fault::Silence`].
+    ///
+    /// [`Fault::Silence`] applies only to the connections that were open when it was set; see
+    /// [`Link::silenced`].
     fn fault(&self, rules: &Rules) -> Fault {
         let matching = rules.iter().rev().filter(|rule| self.matches(rule));
-        let lasting = matching.map(|rule| rule.2).find(|fault| *fault != Fault::Silence);
-        lasting.unwrap_or(Fault::None)
+        let fault = matching.map(|rule| rule.2).find(|fault| *fault != Fault::Silence);
+        fault.unwrap_or(Fault::None)
     }
 
-    /// Whether the connection was silenced since it was opened.
+    /// Returns whether [`Fault::Silence`] was set since the connection was opened.
     fn silenced(&self) -> bool {
         let rules = self.rules.borrow();
-        let since = rules.iter().skip(self.before);
+        let since = rules.iter().skip(self.rules_at_open);
         since.filter(|rule| self.matches(rule)).any(|rule| rule.2 == Fault::Silence)
     }
 
-    fn present(&self) -> Fault {
+    fn current_fault(&self) -> Fault {
         let rules = self.rules.borrow();
         self.fault(&rules)
     }
 
-    async fn until(&mut self, wanted: impl Fn(Fault) -> bool) {
+    async fn wait_for(&mut self, wanted: impl Fn(Fault) -> bool) {
         let link = self.clone();
         self.rules.wait_for(|rules| wanted(link.fault(rules))).await.ok();
     }
@@ -170,25 +173,27 @@
                 });
                 Ok("set".to_owned())
             }
-            _ => Err(format!("not a line: {line}")),
+            _ => Err(format!("invalid command: {line}")),
         }
     }
 
     async fn run(self, mut listener: TcpListener, target: Target) {
         let address = listener.local_addr().expect("a bound listener has an address");
-        let port = Port { asked: Arc::default(), closed: watch::Sender::new(false) };
+        let port = Port { close_requested: Arc::default(), closed: watch::Sender::new(false) };
         loop {
             let accepted = tokio::select! {
-                () = port.asked.notified() => None,
+                () = port.close_requested.notified() => None,
                 accepted = listener.accept() => Some(accepted),
             };
             let Some(accepted) = accepted else {
                 drop(listener);
                 port.closed.send_replace(true);
                 while TcpStream::connect(target.address).await.is_err() {
-                    tokio::time::sleep(REVIVAL_POLL).await;
+                    tokio::time::sleep(REOPEN_POLL_INTERVAL).await;
                 }
-                listener = TcpListener::bind(address).await.expect("the port is the proxy's own");
+                listener = TcpListener::bind(address)
+                    .await
+                    .expect("no other process uses the proxy's port");
                 port.closed.send_replace(false);
                 continue;
             };
@@ -196,52 +201,52 @@
             let sources = self.sources.lock().expect("no holder of the lock panics");
             let from = sources.get(&peer.ip()).cloned().unwrap_or_default();
             let rules = self.rules.subscribe();
-            let before = rules.borrow().len();
-            let link = Link { from, target: target.clone(), before, rules };
-            match link.present() {
+            let rules_at_open = rules.borrow().len();
+            let link = Link { from, target: target.clone(), rules_at_open, rules };
+            match link.current_fault() {
                 Fault::Cut => {}
                 Fault::Reset => reset(&client),
                 _ => {
-                    tokio::spawn(pass(client, link, port.clone()));
+                    tokio::spawn(forward(client, link, port.clone()));
                 }
             }
         }
     }
 }
 
-/// Time between two looks whether a target that has ended is back.
-const REVIVAL_POLL: Duration = Duration::from_millis(20);
+/// Interval at which the proxy checks whether an ended target accepts connections again.
+const REOPEN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The port before a target.
+/// Port that forwards to a target.
 #[derive(Clone)]
 struct Port {
-    /// Asks for it to be closed.
-    asked: Arc<Notify>,
-    /// Whether it is, until the target is back.
+    /// Requests that the port be closed.
+    close_requested: Arc<Notify>,
+    /// Whether the port is closed. It reopens when the target accepts connections.
     closed: watch::Sender<bool>,
 }
 
 impl Port {
-    /// Closes the port if the target takes no connection.
-    async fn follow(&self, target: &Target) {
+    /// Closes the port if the target accepts no connection.
+    async fn close_if_target_ended(&self, target: &Target) {
         if TcpStream::connect(target.address).await.is_ok() {
             return;
         }
         let mut closed = self.closed.subscribe();
-        self.asked.notify_one();
+        self.close_requested.notify_one();
         closed.wait_for(|closed| *closed).await.ok();
     }
 }
 
-/// Has the connection end with a reset when it is dropped.
+/// Makes the connection end with a reset when it is dropped.
 fn reset(stream: &TcpStream) {
-    // A connection that has ended already needs none.
+    // An error means that the connection has already ended and needs no reset.
     socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO)).ok();
 }
 
-async fn pass(client: TcpStream, link: Link, port: Port) {
+async fn forward(client: TcpStream, link: Link, port: Port) {
     let Ok(server) = TcpStream::connect(link.target.address).await else {
-        // As if the port were dead.
+        // The client sees a reset, as if the target's port were closed.
         return reset(&client);
     };
     client.set_nodelay(true).ok();
@@ -252,13 +257,15 @@
         let (client_read, client_write) = client.split();
         let (server_read, server_write) = server.split();
         tokio::select! {
-            () = cut.until(|fault| matches!(fault, Fault::Cut | Fault::Reset)) => cut.present(),
-            () = pump(client_read, server_write, Way::Request, link.clone()) => Fault::None,
-            () = pump(server_read, client_write, Way::Answer, link) => Fault::None,
+            () = cut.wait_for(|fault| matches!(fault, Fault::Cut | Fault::Reset)) => {
+                cut.current_fault()
+            }
+            () = pump(client_read, server_write, Direction::Request, link.clone()) => Fault::None,
+            () = pump(server_read, client_write, Direction::Response, link) => Fault::None,
         }
     };
     if ended == Fault::None {
-        port.follow(&target).await;
+        port.close_if_target_ended(&target).await;
     }
     if ended == Fault::Reset {
         reset(&client);
@@ -266,22 +273,27 @@
     }
 }
 
-async fn pump(mut from: tcp::ReadHalf<'_>, mut to: tcp::WriteHalf<'_>, way: Way, mut link: Link) {
+async fn pump(
+    mut from: tcp::ReadHalf<'_>,
+    mut to: tcp::WriteHalf<'_>,
+    direction: Direction,
+    mut link: Link,
+) {
     let mut buffer = vec![0; 64 * 1024];
-    // A connection never goes on behind bytes that were lost.
+    // Nothing is forwarded behind bytes that were dropped.
     let mut lost = false;
     loop {
         let Ok(count @ 1..) = from.read(&mut buffer).await else {
-            // The end of a silenced connection is not told either.
+            // The end of a silenced connection is not forwarded either.
             if link.silenced() {
                 std::future::pending().await
             }
             return;
         };
-        link.until(|fault| fault != Fault::Freeze).await;
+        link.wait_for(|fault| fault != Fault::Freeze).await;
         lost |= link.silenced();
-        match link.present() {
-            Fault::LoseAnswers if way == Way::Answer => lost = true,
+        match link.current_fault() {
+            Fault::LoseAnswers if direction == Direction::Response => lost = true,
             Fault::Delay(time) => tokio::time::sleep(time).await,
             _ => {}
         }
