--- a/standins/src/lib.rs
+++ b/standins/src/lib.rs
@@ -1,9 +1,9 @@
-//! Stand-ins for what loftcove meets: the platform, model engines, a plain
-//! service, and a fault-injecting TCP proxy between any two processes.
+//! Stand-ins for the systems that loftcove calls or serves: the platform, model engines, backend
+//! servers, a plain service, and a fault-injecting TCP proxy between any two processes.
 //!
-//! For tests and the demo only. Each is a program that prints
-//! `listening ADDRESS` once it serves, so that ports come from the system.
-//! [`calls`] is a store in memory, for tests without processes.
+//! They are for tests and the demo only. Each stand-in is a program that prints `listening ADDRESS`
+//! once it serves, which lets the system assign its port. [`calls`] is an in-memory store for
+//! tests within one process.
 
 pub mod calls;
 pub mod engine;
--- a/standins/src/server.rs
+++ b/standins/src/server.rs
@@ -12,55 +12,60 @@
 use hyper_util::server::conn::auto;
 use tokio::net::TcpListener;
 
-/// Body of an answer.
+/// Response body.
 pub type Body = combinators::BoxBody<Bytes, std::io::Error>;
 
-/// An answer with a status and a JSON body.
+/// Returns a response with a status and a JSON body.
 pub fn json(status: u16, value: &serde_json::Value) -> http::Response<Body> {
     text(status, value.to_string())
 }
 
-/// An answer with a status and a plain body.
+/// Returns a response with a status and a plain body.
 pub fn text(status: u16, text: impl Into<Bytes>) -> http::Response<Body> {
     let body = Full::new(text.into()).map_err(|never: Infallible| match never {}).boxed();
-    http::Response::builder().status(status).body(body).expect("a plain answer is well formed")
+    http::Response::builder()
+        .status(status)
+        .body(body)
+        .expect("a status and a body form a valid response")
 }
 
-/// A body that ends when the sender is dropped, and breaks on an error.
+/// Returns a streamed body with its sender.
+///
+/// The body ends when the sender is dropped, and is aborted when the sender sends an error.
 pub fn channel() -> (tokio::sync::mpsc::Sender<std::io::Result<Bytes>>, Body) {
     let (sender, mut receiver) = tokio::sync::mpsc::channel(16);
     let stream = futures_util::stream::poll_fn(move |context| receiver.poll_recv(context));
-    let frames = stream.map(|part: std::io::Result<Bytes>| part.map(Frame::data));
+    let frames = stream.map(|chunk: std::io::Result<Bytes>| chunk.map(Frame::data));
     (sender, BodyExt::boxed(StreamBody::new(frames)))
 }
 
-/// Reads the whole body of a request.
+/// Reads the whole body of a request. A body that cannot be read is returned empty.
 pub async fn read(body: Incoming) -> Bytes {
     body.collect().await.map(|whole| whole.to_bytes()).unwrap_or_default()
 }
 
-/// Listens on a loopback address and prints it.
+/// Listens on an address and prints `listening ADDRESS` with the bound one.
 pub async fn listen(address: SocketAddr) -> TcpListener {
     let listener = TcpListener::bind(address).await.expect("the stand-in's address is free");
     println!("listening {}", listener.local_addr().expect("a bound listener has an address"));
     listener
 }
 
-/// Serves until the process ends.
+/// Serves connections. Never returns.
 pub async fn serve<H, F>(listener: TcpListener, handler: H)
 where
     H: Fn(http::Request<Incoming>) -> F + Clone + Send + Sync + 'static,
     F: Future<Output = http::Response<Body>> + Send + 'static,
 {
     loop {
-        let Ok((stream, caller)) = listener.accept().await else { continue };
-        // Tokens are small and must not wait for one another.
+        let Ok((stream, peer)) = listener.accept().await else { continue };
+        // Without Nagle's algorithm: tokens are small and must not wait for one another.
         stream.set_nodelay(true).ok();
         let handler = handler.clone();
         tokio::spawn(async move {
             let service = hyper::service::service_fn(move |mut request: http::Request<_>| {
-                // Some stand-ins tell their callers apart.
-                request.extensions_mut().insert(caller);
+                // Some stand-ins distinguish callers by address.
+                request.extensions_mut().insert(peer);
                 let answer = handler(request);
                 async move { Ok::<_, Infallible>(answer.await) }
             });
--- a/standins/src/service.rs
+++ b/standins/src/service.rs
@@ -1,11 +1,14 @@
-//! A stand-in for a plain service whose calls may not be repeated.
+//! A stand-in for a plain service whose calls are not idempotent.
 //!
-//! Every call is done and counted under its `idempotency-key`; `GET
-//! /standin/runs` tells the counts. `x-standin-delay-ms` makes a call slow, `x-standin-cross`
-//! has it answered with another request's id, `x-standin-end-ms` ends the process after that time,
-//! `x-standin-shed: SECONDS` has it refused, with so much rest asked for,
-//! `x-standin-limit: TEXT` has its answer name that rate limit,
-//! `x-standin-bytes: N` makes its answer longer by so many bytes.
+//! Every call is executed and counted under its `idempotency-key`; `GET /standin/runs` returns the
+//! counts. Request headers control how a call is handled:
+//!
+//! - `x-standin-delay-ms: N` delays the response by N milliseconds.
+//! - `x-standin-cross` answers with the id of another request.
+//! - `x-standin-end-ms: N` exits the process N milliseconds after the call was executed.
+//! - `x-standin-shed: SECONDS` rejects the call before it is executed, with `Retry-After: SECONDS`.
+//! - `x-standin-limit: TEXT` adds the rate limit TEXT to the response, as `server-limit`.
+//! - `x-standin-bytes: N` pads the response by N bytes.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -15,19 +18,19 @@
 
 use crate::server;
 
-/// The stand-in.
+/// A stand-in for a plain service.
 #[derive(Clone, Default)]
 pub struct Service {
     runs: Arc<Mutex<BTreeMap<String, u64>>>,
 }
 
-/// Reads a header as text.
+/// Returns the value of a header, or an empty string if it is missing or not text.
 pub fn header<'a>(headers: &'a http::HeaderMap, name: &str) -> &'a str {
     headers.get(name).and_then(|value| value.to_str().ok()).unwrap_or_default()
 }
 
 impl Service {
-    /// Answers one call.
+    /// Handles one call.
     pub async fn handle(self, request: http::Request<Incoming>) -> http::Response<server::Body> {
         match request.uri().path() {
             "/standin/runs" => {
@@ -42,36 +45,36 @@
             }
             _ => {}
         }
-        if let Some(rest) = request.headers().get("x-standin-shed").cloned() {
-            let mut refusal = server::text(503, "no room");
-            refusal.headers_mut().insert(http::header::RETRY_AFTER, rest);
-            return refusal;
+        if let Some(retry_after) = request.headers().get("x-standin-shed").cloned() {
+            let mut rejection = server::text(503, "no room");
+            rejection.headers_mut().insert(http::header::RETRY_AFTER, retry_after);
+            return rejection;
         }
         let key = header(request.headers(), "idempotency-key").to_owned();
         let id = header(request.headers(), "x-request-id").to_owned();
         let delay = header(request.headers(), "x-standin-delay-ms").parse().unwrap_or(0);
-        let crossing = request.headers().clone();
-        // The call takes effect here; what follows can only lose its answer.
+        let headers = request.headers().clone();
+        // The call takes effect here. Failures after this point can only lose its response.
         {
             let mut runs = self.runs.lock().expect("no holder of the stand-in's lock panics");
             *runs.entry(key.clone()).or_default() += 1;
         }
-        if let Ok(ms) = header(&crossing, "x-standin-end-ms").parse() {
+        if let Ok(ms) = header(&headers, "x-standin-end-ms").parse() {
             tokio::time::sleep(Duration::from_millis(ms)).await;
             std::process::exit(0);
         }
         tokio::time::sleep(Duration::from_millis(delay)).await;
         let body = server::read(request.into_body()).await;
-        let padding = "x".repeat(header(&crossing, "x-standin-bytes").parse().unwrap_or(0));
+        let padding = "x".repeat(header(&headers, "x-standin-bytes").parse().unwrap_or(0));
         let answer =
             serde_json::json!({ "delivered": key, "bytes": body.len(), "padding": padding });
         let mut response = server::json(200, &answer);
-        let crossed = !header(&crossing, "x-standin-cross").is_empty();
+        let crossed = !header(&headers, "x-standin-cross").is_empty();
         let echo = if crossed { "another-request".to_owned() } else { id };
         if let Ok(id) = echo.parse() {
             response.headers_mut().insert("x-request-id", id);
         }
-        if let Some(limit) = crossing.get("x-standin-limit").cloned() {
+        if let Some(limit) = headers.get("x-standin-limit").cloned() {
             response.headers_mut().insert("server-limit", limit);
         }
         response
