--- a/bench/src/capacity.rs
+++ b/bench/src/capacity.rs
@@ -64,7 +64,8 @@
 
 fn machine(servers: u32) -> balancer::Balancer<loftcove_decision::routing::policy::Blend> {
     let rng = rand_chacha::ChaCha8Rng::seed_from_u64(1);
-    let mut machine = balancer::Balancer::new(routing::chosen(rng), &balancer::Options::default());
+    let mut machine =
+        balancer::Balancer::new(routing::daemon_policy(rng), &balancer::Options::default());
     let listing = |server: u32| server::Listing {
         host: format!("server{server:05}").into(),
         born: None,
--- a/bench/src/fleet.rs
+++ b/bench/src/fleet.rs
@@ -37,7 +37,7 @@
     /// Attempts that a server refused, asking for rest.
     pub shed: u64,
     /// What servers asked for, and what came all the same.
-    pub log: shed::Log,
+    pub shed_log: shed::Log,
     /// Requests answered in time.
     pub good: u64,
     /// Requests that arrived and were answered in time, of team 0 and of all others.
@@ -62,7 +62,7 @@
 
     /// Requests answered in time, a second.
     pub fn goodput(&self, plan: &Plan) -> f64 {
-        self.good as f64 / plan.length.as_secs_f64()
+        self.good as f64 / plan.duration.as_secs_f64()
     }
 }
 
@@ -147,7 +147,7 @@
         sent: 0,
         full: 0,
         shed: 0,
-        log: shed::Log::default(),
+        shed_log: shed::Log::default(),
         good: 0,
         by_team: [(0, 0); 2],
         refused: 0,
@@ -215,7 +215,7 @@
     }
 
     fn open(&self) -> bool {
-        self.now < clock::Instant::ZERO + self.plan.length
+        self.now < clock::Instant::ZERO + self.plan.duration
     }
 
     fn drain(&mut self) {
@@ -271,12 +271,12 @@
         let gap: f64 = gap.sample(&mut self.rng);
         self.at(Duration::from_secs_f64(gap), Event::Arrive);
         let entry = self.rng.random_range(0..self.entries.len());
-        let greed = self.plan.greed;
+        let greed = self.plan.team_0_weight;
         let lot = self.rng.random_range(0.0..greed + (TEAMS - 1) as f64);
         let team = if lot < greed { 0 } else { 1 + (lot - greed) as u32 };
         let urgent = self.rng.random_bool(self.plan.urgent);
         let prefix = 1 + self.rng.random_range(0..self.plan.prefixes);
-        let deadline = self.now + self.plan.patience;
+        let deadline = self.now + self.plan.time_limit;
         let arrival = balancer::Arrival {
             pool: pool(),
             team: entity::Team::from_u32(team),
@@ -362,7 +362,7 @@
     fn sheds(&mut self, server: usize, entry: usize) -> bool {
         let Some(plan) = &self.plan.shed else { return false };
         let lot = self.rng.random_range(0.0..1.0);
-        self.result.log.take(plan, (server, entry), lot, self.now)
+        self.result.shed_log.record_arrival(plan, (server, entry), lot, self.now)
     }
 
     fn notice(&mut self, server: usize, entry: usize) {
--- a/bench/src/fleet/plan.rs
+++ b/bench/src/fleet/plan.rs
@@ -20,13 +20,13 @@
     /// Age of a load report when it arrives, and time between two.
     pub lag: Duration,
     /// How long requests arrive.
-    pub length: Duration,
+    pub duration: Duration,
     /// Time that a request is given.
-    pub patience: Duration,
+    pub time_limit: Duration,
     /// Part of the requests that is urgent, precedence 0 instead of 1.
     pub urgent: f64,
     /// Requests of team 0 for each one of any of the nine other teams.
-    pub greed: f64,
+    pub team_0_weight: f64,
     /// Kinds of prompts, each with its own prefix.
     pub prefixes: u64,
     /// Prefixes that a server's cache holds.
@@ -54,10 +54,10 @@
             service: Duration::from_millis(400),
             rate: 224.0,
             lag: Duration::from_millis(500),
-            length: Duration::from_secs(60),
-            patience: Duration::from_secs(10),
+            duration: Duration::from_secs(60),
+            time_limit: Duration::from_secs(10),
             urgent: 0.05,
-            greed: 1.0,
+            team_0_weight: 1.0,
             prefixes: 64,
             cache: 8,
             slow: 0,
--- a/bench/src/fleet/shed.rs
+++ b/bench/src/fleet/shed.rs
@@ -21,13 +21,13 @@
     /// Rest that they ask for.
     pub rest: Duration,
     /// Whether entry hosts are told it.
-    pub heeded: bool,
+    pub applied: bool,
 }
 
 impl Plan {
     /// What a refusal says, as the entry host takes it.
     pub fn notice(&self) -> notice::Notice {
-        let rest = if self.heeded { notice::Rest::For(self.rest) } else { notice::Rest::None };
+        let rest = if self.applied { notice::Rest::For(self.rest) } else { notice::Rest::None };
         notice::Notice { rest, leaving: false }
     }
 }
@@ -44,7 +44,7 @@
 impl Log {
     /// A request of an entry host reaches a server. Returns whether it is refused,
     /// for a lot from 0 to 1.
-    pub fn take(
+    pub fn record_arrival(
         &mut self,
         plan: &Plan,
         (server, entry): (usize, usize),
@@ -65,7 +65,7 @@
 
     /// Most requests of one entry host that reached a server between half a second
     /// after it had asked for rest and the end of that.
-    pub fn worst(&self, rest: Duration) -> usize {
+    pub fn most_during_rest(&self, rest: Duration) -> usize {
         let count = |(pair, asked): (&(usize, usize), &Vec<clock::Instant>)| {
             let came = self.came.get(pair).map_or(&[][..], Vec::as_slice);
             let within = |from: clock::Instant| {
--- a/bench/src/overload.rs
+++ b/bench/src/overload.rs
@@ -4,7 +4,7 @@
 use crate::{fleet, routing};
 
 fn row(name: &str, plan: &Plan) {
-    let result = fleet::run(plan, routing::chosen);
+    let result = fleet::run(plan, routing::daemon_policy);
     println!(
         "{name:<24} {:>8} {:>8.0} {:>6.2} {:>9.1} {:>9.1} {:>8} {:>8} {:>6.0}%",
         result.offered,
@@ -24,10 +24,10 @@
     good as f64 / asked.max(1) as f64
 }
 
-/// That part while team 0 asks `greed` times as much as any other, at a load.
-pub fn share_of_others(greed: f64, load: f64) -> f64 {
-    let plan = Plan { greed, ..Plan::default() }.at_load(load);
-    others(&fleet::run(&plan, routing::chosen))
+/// That part while team 0 asks `team_0_weight` times as much as any other, at a load.
+pub fn share_of_others(team_0_weight: f64, load: f64) -> f64 {
+    let plan = Plan { team_0_weight, ..Plan::default() }.at_load(load);
+    others(&fleet::run(&plan, routing::daemon_policy))
 }
 
 /// Prints goodput and waits at growing load, with 7 and 400 entry hosts.
@@ -48,7 +48,7 @@
         let plan = Plan { entries, servers, piggyback: false, ..Plan::default() };
         row(&format!("{entries}x{servers} no piggyback, 0.8"), &plan.at_load(0.8));
     }
-    row("greedy team, load=2", &Plan { greed: 50.0, ..base }.at_load(2.0));
+    row("greedy team, load=2", &Plan { team_0_weight: 50.0, ..base }.at_load(2.0));
     row("slow server, load=0.7", &Plan { slow: 1, ..base }.at_load(0.7));
     row("half fail, load=0.4", &Plan { failing: 8, ..base }.at_load(0.4));
     row("half fail, load=1", &Plan { failing: 8, ..base }.at_load(1.0));
--- a/bench/src/placement.rs
+++ b/bench/src/placement.rs
@@ -20,7 +20,7 @@
     /// Mean over the intervals of step time relative to perfect balance.
     pub mean: f64,
     /// 95th percentile of it.
-    pub high: f64,
+    pub p95: f64,
     /// Expert loads, as a part of all experts of all layers, per interval.
     pub moved: f64,
     /// Intervals in which anything moved.
@@ -57,7 +57,7 @@
     let all = f64::from(shape.layers * shape.experts) * intervals as f64;
     Score {
         mean: skews.iter().sum::<f64>() / intervals as f64,
-        high: skews[intervals * 95 / 100],
+        p95: skews[intervals * 95 / 100],
         moved: f64::from(loads) / all,
         changes,
     }
@@ -158,7 +158,7 @@
                     format!("{drift:?}"),
                     row.name,
                     score.mean,
-                    score.high,
+                    score.p95,
                     score.moved * 100.0,
                     score.changes
                 );
--- a/bench/src/rest.rs
+++ b/bench/src/rest.rs
@@ -13,17 +13,17 @@
 /// When servers shed.
 const SPAN: (Duration, Duration) = (Duration::from_secs(5), Duration::from_secs(13));
 /// Time that a request is given.
-const PATIENCE: Duration = Duration::from_secs(8);
+const TIME_LIMIT: Duration = Duration::from_secs(8);
 
 /// A day on which so many of the servers shed a part of their requests.
-pub fn plan((entries, servers): (usize, usize), part: f64, load: f64, heeded: bool) -> Plan {
+pub fn plan((entries, servers): (usize, usize), part: f64, load: f64, applied: bool) -> Plan {
     let shedding = (servers as f64 * part).ceil() as usize;
-    let shed = shed::Plan { servers: shedding, span: SPAN, rest: REST, heeded };
+    let shed = shed::Plan { servers: shedding, span: SPAN, rest: REST, applied };
     let plan = Plan {
         entries,
         servers,
-        patience: PATIENCE,
-        length: Duration::from_secs(20),
+        time_limit: TIME_LIMIT,
+        duration: Duration::from_secs(20),
         // Retries are counted by what arrives at servers.
         retry_ratio: 0.2,
         shed: Some(shed),
@@ -33,8 +33,8 @@
 }
 
 /// Most requests that one gateway sends to a server in its rest.
-pub fn worst(result: &fleet::Result) -> usize {
-    result.log.worst(REST)
+pub fn most_during_rest(result: &fleet::Result) -> usize {
+    result.shed_log.most_during_rest(REST)
 }
 
 /// Prints a row for each size, part of the servers that sheds, and way.
@@ -45,10 +45,10 @@
     );
     for size in SIZES {
         for (part, load) in [(0.3, 0.5), (0.3, 0.9), (1.0, 0.5)] {
-            for heeded in [false, true] {
-                let plan = plan(size, part, load, heeded);
-                let result = fleet::run(&plan, routing::chosen);
-                let way = if heeded { "heeded" } else { "own guess" };
+            for applied in [false, true] {
+                let plan = plan(size, part, load, applied);
+                let result = fleet::run(&plan, routing::daemon_policy);
+                let way = if applied { "heeded" } else { "own guess" };
                 println!(
                     "{:<36} {:>8} {:>8.3} {:>8} {:>8} {:>8} {:>6}",
                     format!("{}x{} {part} shed, load {load}, {way}", size.0, size.1),
@@ -57,7 +57,7 @@
                     result.refused,
                     result.sent,
                     result.shed,
-                    worst(&result)
+                    most_during_rest(&result)
                 );
             }
         }
--- a/bench/src/routing.rs
+++ b/bench/src/routing.rs
@@ -13,7 +13,7 @@
 }
 
 /// The way that the daemon takes.
-pub fn chosen(rng: rand_chacha::ChaCha8Rng) -> policy::Blend {
+pub fn daemon_policy(rng: rand_chacha::ChaCha8Rng) -> policy::Blend {
     policy::Blend { rng, sample: 2, affinity_slack: 0.5 }
 }
 
--- a/bench/tests/bounds.rs
+++ b/bench/tests/bounds.rs
@@ -33,10 +33,10 @@
 #[test]
 fn goodput_holds_flat_and_urgent_requests_pass_under_overload() {
     let plan = |load| {
-        fleet::Plan { length: std::time::Duration::from_secs(20), ..fleet::Plan::default() }
+        fleet::Plan { duration: std::time::Duration::from_secs(20), ..fleet::Plan::default() }
             .at_load(load)
     };
-    let at = |load| fleet::run(&plan(load), routing::chosen);
+    let at = |load| fleet::run(&plan(load), routing::daemon_policy);
     let (full, double, tenfold) = (at(1.0), at(2.0), at(10.0));
     assert_eq!(at(0.8).refused, 0);
     assert!(double.good as f64 > full.good as f64 * 0.95, "{} after {}", double.good, full.good);
@@ -48,7 +48,7 @@
 #[test]
 fn failing_servers_do_not_multiply_the_load() {
     let plan = fleet::Plan { failing: 8, ..fleet::Plan::default() }.at_load(1.0);
-    let result = fleet::run(&plan, routing::chosen);
+    let result = fleet::run(&plan, routing::daemon_policy);
     let again = result.sent - result.full;
     assert!(again as f64 <= result.offered as f64 * 1.15, "{again} for {}", result.offered);
 }
@@ -93,12 +93,16 @@
 #[test]
 fn servers_that_ask_for_rest_get_it_at_any_number_of_gateways() {
     for size in [(8, 16), (100, 100)] {
-        let at = |heeded| fleet::run(&rest::plan(size, 0.3, 0.5, heeded), routing::chosen);
-        let (guessed, heeded) = (at(false), at(true));
-        assert!(rest::worst(&guessed) > 2, "{size:?}: the load shows nothing");
-        assert!(rest::worst(&heeded) <= 2, "{size:?}: {} in a rest", rest::worst(&heeded));
-        let served = heeded.good as f64 / heeded.offered as f64;
+        let at = |applied| fleet::run(&rest::plan(size, 0.3, 0.5, applied), routing::daemon_policy);
+        let (guessed, applied) = (at(false), at(true));
+        assert!(rest::most_during_rest(&guessed) > 2, "{size:?}: the load shows nothing");
+        assert!(
+            rest::most_during_rest(&applied) <= 2,
+            "{size:?}: {} in a rest",
+            rest::most_during_rest(&applied)
+        );
+        let served = applied.good as f64 / applied.offered as f64;
         assert!(served > 0.99, "{size:?}: {served}");
-        assert!(heeded.shed < guessed.shed, "{size:?}");
+        assert!(applied.shed < guessed.shed, "{size:?}");
     }
 }
