--- a/bench/src/drift.rs
+++ b/bench/src/drift.rs
@@ -1,4 +1,4 @@
-//! Loads of experts that change with time.
+//! Synthetic expert loads that change over time.
 
 use std::f64::consts::TAU;
 
@@ -10,19 +10,19 @@
 use rand_chacha::rand_core::SeedableRng as _;
 use rand_distr::Distribution as _;
 
-/// How the load changes.
+/// Pattern by which the load or the health of the ranks changes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Drift {
-    /// Two kinds of work that take turns over a day, as reminders in the
-    /// morning and notices with the weather.
+    /// Two kinds of work that alternate over a day, such as reminders in the morning and weather
+    /// notices.
     Mornings,
     /// Steady, then one expert of each layer becomes eight times as popular.
     Spike,
-    /// Popularity moves on slowly from expert to expert.
+    /// Popularity moves slowly from expert to expert.
     Rotation,
-    /// Steady but for strong noise from interval to interval.
+    /// Steady, with strong noise between intervals.
     Noise,
-    /// Two loads that change places at every interval.
+    /// Two loads that alternate at every interval.
     Oscillation,
     /// Steady, then one rank becomes half as fast.
     SlowRank,
@@ -30,7 +30,7 @@
     LostRank,
 }
 
-/// All drifts.
+/// All patterns.
 pub const ALL: [Drift; 7] = [
     Drift::Mornings,
     Drift::Spike,
@@ -41,79 +41,81 @@
     Drift::LostRank,
 ];
 
-/// Tokens of one layer in one interval.
+/// Number of tokens of one layer in one interval.
 const TOKENS: f64 = 1_000_000.0;
-/// Exponent of the popularity's power law.
+/// Exponent of the power law of expert popularity.
 const EXPONENT: f64 = 0.8;
-/// Intervals of a day.
-const DAY: f64 = 96.0;
-/// Relative deviation of an expert's tokens from interval to interval, and in
-/// the drift that is only noise.
-const DEVIATION: (f64, f64) = (0.05, 0.5);
+/// Number of intervals in a day.
+const DAY_INTERVALS: f64 = 96.0;
+/// Sigma of the log-normal factor on an expert's tokens in each interval, in general and for
+/// [`Drift::Noise`].
+const SIGMA: (f64, f64) = (0.05, 0.5);
 
-/// Makes the loads of a run.
+/// Generator of the loads of a run.
 pub struct Source {
     drift: Drift,
     shape: layout::Shape,
     rng: ChaCha8Rng,
-    /// By layer: two popularities, each over the experts.
+    /// Two popularity distributions over the experts, for each layer.
     popularity: Vec<[Vec<f64>; 2]>,
 }
 
-/// What one interval brings.
+/// Load and health in one interval.
 pub struct Interval {
-    /// Tokens.
+    /// Tokens of each expert.
     pub load: load::Load,
-    /// How the ranks are.
+    /// Health of the ranks.
     pub health: cost::Health,
 }
 
 impl Source {
-    /// A source with a seed.
+    /// Creates a generator with a seed.
     pub fn new(drift: Drift, shape: layout::Shape, seed: u64) -> Source {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let popularity = shape
             .layer_ids()
-            .map(|_| [ranked(shape.experts, &mut rng), ranked(shape.experts, &mut rng)]);
+            .map(|_| [power_law(shape.experts, &mut rng), power_law(shape.experts, &mut rng)]);
         let popularity = popularity.collect();
         Source { drift, shape, rng, popularity }
     }
 
-    /// The interval of that number, out of `count`; ask in order.
+    /// Generates the interval with that number, out of `count`.
+    ///
+    /// Intervals must be requested in order, because they share one random number generator.
     pub fn interval(&mut self, number: usize, count: usize) -> Interval {
-        let late = number * 2 >= count;
+        let second_half = number * 2 >= count;
         let mut health = cost::Health::healthy(self.shape.ranks);
         match self.drift {
-            Drift::SlowRank if late => health.slowness[0] = 2.0,
-            Drift::LostRank if late => health.slowness[0] = f64::INFINITY,
+            Drift::SlowRank if second_half => health.slowness[0] = 2.0,
+            Drift::LostRank if second_half => health.slowness[0] = f64::INFINITY,
             _ => {}
         }
         let mut load = load::Load::new(self.shape.layers as usize, self.shape.experts as usize);
         for layer in self.shape.layer_ids() {
-            self.fill(load.layer_mut(layer), layer, number, late);
+            self.fill(load.layer_mut(layer), layer, number, second_half);
         }
         Interval { load, health }
     }
 
-    fn fill(&mut self, tokens: &mut [f64], layer: entity::Layer, number: usize, late: bool) {
+    fn fill(&mut self, tokens: &mut [f64], layer: entity::Layer, number: usize, second_half: bool) {
         let [first, second] = &self.popularity[layer.as_u32() as usize];
         let share = match self.drift {
-            Drift::Mornings => 0.5 + 0.5 * (TAU * number as f64 / DAY).cos(),
+            Drift::Mornings => 0.5 + 0.5 * (TAU * number as f64 / DAY_INTERVALS).cos(),
             Drift::Oscillation => (number % 2) as f64,
             _ => 1.0,
         };
-        let deviation = if self.drift == Drift::Noise { DEVIATION.1 } else { DEVIATION.0 };
-        let noise = rand_distr::LogNormal::new(0.0, deviation).expect("the deviation is positive");
+        let sigma = if self.drift == Drift::Noise { SIGMA.1 } else { SIGMA.0 };
+        let noise = rand_distr::LogNormal::new(0.0, sigma).expect("sigma is positive");
         let count = tokens.len();
-        // One expert's place in twelve intervals.
-        let turn = if self.drift == Drift::Rotation { number as f64 / 12.0 } else { 0.0 };
+        // Popularity moves by one expert in twelve intervals.
+        let rotation = if self.drift == Drift::Rotation { number as f64 / 12.0 } else { 0.0 };
         for (expert, tokens) in tokens.iter_mut().enumerate() {
-            let place = (expert + turn as usize) % count;
+            let place = (expert + rotation as usize) % count;
             let next = (place + 1) % count;
-            let between = turn.fract();
-            let turned = first[place] * (1.0 - between) + first[next] * between;
-            let mut weight = turned * share + second[expert] * (1.0 - share);
-            if self.drift == Drift::Spike && late && expert == 0 {
+            let fraction = rotation.fract();
+            let rotated = first[place] * (1.0 - fraction) + first[next] * fraction;
+            let mut weight = rotated * share + second[expert] * (1.0 - share);
+            if self.drift == Drift::Spike && second_half && expert == 0 {
                 weight *= 8.0;
             }
             *tokens = weight * TOKENS * noise.sample(&mut self.rng);
@@ -121,8 +123,8 @@
     }
 }
 
-/// A power law over the experts in random order; sums to 1.
-fn ranked(experts: u32, rng: &mut ChaCha8Rng) -> Vec<f64> {
+/// Returns a power law over the experts in random order. Its sum is 1, up to a random factor.
+fn power_law(experts: u32, rng: &mut ChaCha8Rng) -> Vec<f64> {
     let mut weights: Vec<f64> =
         (1..=experts).map(|place| f64::from(place).powf(-EXPONENT)).collect();
     weights.shuffle(rng);
