--- a/bench/src/overload.rs
+++ b/bench/src/overload.rs
@@ -1,8 +1,10 @@
-//! Limits under overload, failure and greed, without a shared counter.
+//! Measures the limits, which use no shared counter, under overload, with failing servers and with
+//! one team that asks for far more than the others.
 
 use crate::fleet::Plan;
 use crate::{fleet, routing};
 
+/// Runs a plan and prints its row.
 fn row(name: &str, plan: &Plan) {
     let result = fleet::run(plan, routing::daemon_policy);
     println!(
@@ -18,19 +20,20 @@
     );
 }
 
-/// Part of what the teams other than team 0 asked that was answered in time.
+/// Returns the fraction of the requests of all teams but team 0 that was answered in time.
 fn others(result: &fleet::Result) -> f64 {
     let (asked, good) = result.by_team[1];
     good as f64 / asked.max(1) as f64
 }
 
-/// That part while team 0 asks `team_0_weight` times as much as any other, at a load.
+/// Returns that fraction at a load, while team 0 sends `team_0_weight` times as many requests as
+/// any other team.
 pub fn share_of_others(team_0_weight: f64, load: f64) -> f64 {
     let plan = Plan { team_0_weight, ..Plan::default() }.at_load(load);
     others(&fleet::run(&plan, routing::daemon_policy))
 }
 
-/// Prints goodput and waits at growing load, with 7 and 400 entry hosts.
+/// Prints goodput and wait times at growing load, for 7, 13 and 400 entry hosts, and special cases.
 pub fn print() {
     println!(
         "{:<24} {:>8} {:>8} {:>6} {:>9} {:>9} {:>8} {:>8} {:>7}",
--- a/bench/src/rest.rs
+++ b/bench/src/rest.rs
@@ -1,21 +1,24 @@
-//! What heeding a server's wish for rest buys: requests that reach a resting
-//! server, requests served, refused and sent, by the number of gateways.
+//! Measures the effect of applying the *rest* that servers ask for, by the number of gateways.
+//!
+//! A server that sheds load asks for rest: the time during which it should get no requests
+//! (`Retry-After`). Compared are the requests that reach a resting server, and the requests that
+//! are served in time, rejected and sent.
 
 use std::time::Duration;
 
 use crate::fleet::{Plan, shed};
 use crate::{fleet, routing};
 
-/// Numbers of gateways that are compared, each with so many servers.
+/// Compared numbers of gateways, each with its number of servers.
 const SIZES: [(usize, usize); 3] = [(8, 16), (100, 100), (300, 300)];
-/// Rest that servers ask for.
+/// Rest that a server asks for.
 const REST: Duration = Duration::from_secs(3);
-/// When servers shed.
+/// Begin and end of the time in which servers shed requests.
 const SPAN: (Duration, Duration) = (Duration::from_secs(5), Duration::from_secs(13));
-/// Time that a request is given.
+/// Time limit of a request.
 const TIME_LIMIT: Duration = Duration::from_secs(8);
 
-/// A day on which so many of the servers shed a part of their requests.
+/// Returns a plan in which `part` of the servers shed a part of their requests.
 pub fn plan((entries, servers): (usize, usize), part: f64, load: f64, applied: bool) -> Plan {
     let shedding = (servers as f64 * part).ceil() as usize;
     let shed = shed::Plan { servers: shedding, span: SPAN, rest: REST, applied };
@@ -24,7 +27,7 @@
         servers,
         time_limit: TIME_LIMIT,
         duration: Duration::from_secs(20),
-        // Retries are counted by what arrives at servers.
+        // Retries are counted by the requests that reach servers.
         retry_ratio: 0.2,
         shed: Some(shed),
         ..Plan::default()
@@ -32,12 +35,12 @@
     plan.at_load(load)
 }
 
-/// Most requests that one gateway sends to a server in its rest.
+/// Returns the largest number of requests that one gateway sends to a server during its rest.
 pub fn most_during_rest(result: &fleet::Result) -> usize {
     result.shed_log.most_during_rest(REST)
 }
 
-/// Prints a row for each size, part of the servers that sheds, and way.
+/// Prints a row for each size, part of the servers that shed, and way to handle rest.
 pub fn print() {
     println!(
         "{:<36} {:>8} {:>8} {:>8} {:>8} {:>8} {:>6}",
--- a/bench/src/routing.rs
+++ b/bench/src/routing.rs
@@ -1,26 +1,26 @@
-//! Compares the ways to choose a backend server.
+//! Compares the policies that select a backend server.
 
 use loftcove_decision::routing::policy;
 
 use crate::fleet;
 
-/// One way's row.
+/// Row of one policy.
 pub struct Row {
-    /// Its name.
+    /// Name of the policy.
     pub name: &'static str,
-    /// What came of it.
+    /// Result of its run.
     pub result: fleet::Result,
 }
 
-/// The way that the daemon takes.
+/// Returns the policy that the daemon uses.
 pub fn daemon_policy(rng: rand_chacha::ChaCha8Rng) -> policy::Blend {
     policy::Blend { rng, sample: 2, affinity_slack: 0.5 }
 }
 
-/// All ways under one plan.
+/// Runs all policies on one plan.
 pub fn compare(plan: &fleet::Plan) -> Vec<Row> {
     let blend = |sample, affinity_slack| move |rng| policy::Blend { rng, sample, affinity_slack };
-    // A slack below any difference of scores never prefers the cache.
+    // With a slack below any difference of scores, a cached prefix is never preferred.
     const NO_AFFINITY: f64 = -1e9;
     vec![
         Row { name: "lot", result: fleet::run(plan, |rng| policy::Lot { rng }) },
