--- a/bench/src/placement.rs
+++ b/bench/src/placement.rs
@@ -1,34 +1,38 @@
-//! Compares the placement policies: skew, and what it costs.
+//! Compares the placement policies by skew, and by the expert loads that reach it.
+//!
+//! The *skew* of an interval is its step time relative to that of a perfectly balanced group.
 
 use loftcove_decision::placement::{cost, layout, load, pack, policy};
 
 use crate::drift;
 
-/// Intervals of a run: a day of quarter hours.
+/// Number of intervals in a run: a day in quarter hours.
 pub const INTERVALS: usize = 96;
-/// Copies of one expert at the most.
+/// Maximum number of replicas of one expert.
 const REPLICAS: u32 = 8;
 
-/// Ranks as today: 16 in one group.
+/// Shape of the current deployments: one group of 16 ranks.
 pub const TODAY: layout::Shape = layout::Shape { layers: 8, experts: 64, ranks: 16, slots: 5 };
-/// The size that decides (letter 1).
+/// Target shape. The choice between the policies is made at this size.
 pub const TARGET: layout::Shape = layout::Shape { layers: 60, experts: 256, ranks: 64, slots: 5 };
 
-/// What a policy came to over a run.
+/// Result of a policy over a run.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Score {
-    /// Mean over the intervals of step time relative to perfect balance.
+    /// Mean skew over the intervals.
     pub mean: f64,
-    /// 95th percentile of it.
+    /// 95th percentile of the skew.
     pub p95: f64,
-    /// Expert loads, as a part of all experts of all layers, per interval.
+    /// Expert loads per interval, as a fraction of all experts of all layers.
     pub moved: f64,
-    /// Intervals in which anything moved.
+    /// Number of intervals in which the layout changed.
     pub changes: usize,
 }
 
-/// Runs a policy over a drift. The decision at the end of an interval takes
-/// effect for the next: what it saw is always one interval old.
+/// Runs a policy over a drift pattern.
+///
+/// A decision at the end of an interval takes effect in the next one, so the load that it is based
+/// on is always one interval old.
 pub fn run<P: policy::Policy>(
     mut policy: P,
     drift: drift::Drift,
@@ -43,10 +47,10 @@
     for number in 0..intervals {
         let interval = source.interval(number, intervals);
         let skew = cost::skew(&layout, &interval.load, &interval.health);
-        // A group with an expert on a lost rank does not step at all.
-        skews.push(if skew.is_finite() { skew } else { STALLED });
-        let seen = policy::Observation { load: &interval.load, health: &interval.health };
-        if let Some(next) = policy.decide(seen, &layout) {
+        // A group with an expert on a lost rank cannot step.
+        skews.push(if skew.is_finite() { skew } else { STALLED_SKEW });
+        let observation = policy::Observation { load: &interval.load, health: &interval.health };
+        if let Some(next) = policy.decide(observation, &layout) {
             assert_eq!(next.verify(), Ok(()));
             loads += next.loads_from(&layout);
             changes += 1;
@@ -54,25 +58,25 @@
         }
     }
     skews.sort_by(f64::total_cmp);
-    let all = f64::from(shape.layers * shape.experts) * intervals as f64;
+    let experts = f64::from(shape.layers * shape.experts) * intervals as f64;
     Score {
         mean: skews.iter().sum::<f64>() / intervals as f64,
         p95: skews[intervals * 95 / 100],
-        moved: f64::from(loads) / all,
+        moved: f64::from(loads) / experts,
         changes,
     }
 }
 
-/// Skew that stands for a group which does not step.
-const STALLED: f64 = 10.0;
+/// Skew that is counted for a group that cannot step.
+const STALLED_SKEW: f64 = 10.0;
 
-/// The best static layout known in hindsight: packed on the mean of all loads.
+/// A policy that uses one static layout, packed for the mean of all loads of the run.
 pub struct Hindsight {
     layout: Option<layout::Layout>,
 }
 
 impl Hindsight {
-    /// Packs on the mean of the run's loads.
+    /// Packs a layout for the mean of the run's loads.
     pub fn new(drift: drift::Drift, shape: layout::Shape, intervals: usize) -> Hindsight {
         let mut source = drift::Source::new(drift, shape, 1);
         let mut mean = load::Load::new(shape.layers as usize, shape.experts as usize);
@@ -92,9 +96,9 @@
     }
 }
 
-/// Rules of a deployment.
+/// Returns the rules of a deployment with these weights.
 pub fn rules(skew_weight: f64, cost_weight: f64) -> policy::Rules {
-    // The bound on moves grows with the group.
+    // The limit on moves is raised, because it must grow with the size of the group.
     policy::Rules {
         skew_weight,
         cost_weight,
@@ -104,20 +108,20 @@
     }
 }
 
-/// Weights of the two deployments of the brief.
+/// Weights of skew and cost of the deployment Cartamar, which values low skew most.
 pub const CARTAMAR: (f64, f64) = (4.0, 1.0);
-/// See [`CARTAMAR`].
+/// Weights of skew and cost of the deployment Mensageira, which values few expert loads most.
 pub const MENSAGEIRA: (f64, f64) = (1.0, 4.0);
 
-/// One policy's row.
+/// Row of one policy.
 pub struct Row {
     /// Name of the policy.
     pub name: &'static str,
-    /// What it came to.
+    /// Result of the policy.
     pub score: Score,
 }
 
-/// All policies over one drift.
+/// Runs all policies over one drift pattern.
 pub fn compare(drift: drift::Drift, shape: layout::Shape, intervals: usize) -> Vec<Row> {
     let incremental = |(skew, cost)| policy::Incremental::new(rules(skew, cost));
     let once = policy::Once { replicas: REPLICAS, done: false };
@@ -139,7 +143,7 @@
     ]
 }
 
-/// Prints the comparison at both sizes.
+/// Prints the comparison for both shapes.
 pub fn print() {
     for (name, shape, intervals) in [("today", TODAY, INTERVALS), ("target", TARGET, INTERVALS)] {
         println!(
@@ -167,7 +171,7 @@
     }
 }
 
-/// Prints the trade-off between skew and cost over the weights.
+/// Prints the trade-off between skew and cost, by the ratio of their weights.
 pub fn print_curve() {
     println!("{:<12} {:>12} {:>7} {:>9}", "drift", "cost/skew", "mean", "moved");
     for drift in [drift::Drift::Mornings, drift::Drift::Rotation, drift::Drift::Noise] {
