--- a/bench/src/path.rs
+++ b/bench/src/path.rs
@@ -1,21 +1,21 @@
-//! The cost of the path: entry host and agent, against a direct call to the
-//! same backend server in the same run.
+//! Measures the cost of the path through entry host and agent, against direct calls to the same
+//! backend server in the same run.
 
 use std::time::{Duration, Instant};
 
 use hdrhistogram::Histogram;
 use loftcove_tests::{caller, cluster, process};
 
-/// Calls of each kind.
+/// Number of calls of each kind.
 const CALLS: usize = 3_000;
-/// Streams at a time, and tokens of each.
+/// Number of concurrent streams.
 const STREAMS: usize = 8;
-/// See [`STREAMS`].
+/// Number of tokens of each stream.
 const TOKENS: u64 = 2_000;
-/// How long processes are watched that have nothing to do.
+/// Time over which the processor time of idle processes is measured.
 const IDLE: Duration = Duration::from_secs(10);
-/// Streams that are open while memory is measured.
-const OPEN: usize = 60;
+/// Number of open streams when memory is measured.
+const OPEN_STREAMS: usize = 60;
 
 /// Prints the measurement.
 pub fn print() {
@@ -23,7 +23,7 @@
         .worker_threads(4)
         .enable_all()
         .build()
-        .expect("the runtime starts");
+        .expect("the runtime can be built");
     for workers in [1, 2] {
         println!("workers={workers}");
         runtime.block_on(measure(workers));
@@ -51,14 +51,14 @@
     let path = format!("/services/{}/send", cluster::SERVICE);
     calls(&direct, "/send", 300).await;
     calls(&through, &path, 300).await;
-    let alone = calls(&direct, "/send", CALLS).await;
+    let direct_times = calls(&direct, "/send", CALLS).await;
     let before = usage(&cluster, &[&host, &sms]);
-    let both = calls(&through, &path, CALLS).await;
+    let through_times = calls(&through, &path, CALLS).await;
     let after = usage(&cluster, &[&host, &sms]);
     let us = |histogram: &Histogram<u64>, quantile| histogram.value_at_quantile(quantile);
-    println!("direct  p50={}us p95={}us", us(&alone, 0.5), us(&alone, 0.95));
-    println!("through p50={}us p95={}us", us(&both, 0.5), us(&both, 0.95));
-    println!("added   p50={}us", us(&both, 0.5).saturating_sub(us(&alone, 0.5)));
+    println!("direct  p50={}us p95={}us", us(&direct_times, 0.5), us(&direct_times, 0.95));
+    println!("through p50={}us p95={}us", us(&through_times, 0.5), us(&through_times, 0.95));
+    println!("added   p50={}us", us(&through_times, 0.5).saturating_sub(us(&direct_times, 0.5)));
     for (name, index) in [("entry", 0), ("agent", 1)] {
         let cpu = after[index].cpu - before[index].cpu;
         println!("cpu per request {name}={}us", cpu.as_micros() / CALLS as u128);
@@ -68,7 +68,7 @@
     memory(&cluster, &host, &through).await;
 }
 
-/// Processor time of processes that have nothing to do.
+/// Prints the processor time of idle processes.
 async fn idle(cluster: &cluster::Cluster, hosts: &[&str]) {
     let before = usage(cluster, hosts);
     tokio::time::sleep(IDLE).await;
@@ -83,7 +83,7 @@
     hosts.iter().map(|host| cluster.members[*host].process.usage()).collect()
 }
 
-/// Calls one after the other; times in microseconds.
+/// Makes calls one after the other and returns their times in microseconds.
 async fn calls(caller: &caller::Caller, path: &str, count: usize) -> Histogram<u64> {
     let mut times = Histogram::new(3).expect("three digits are allowed");
     for _ in 0..count {
@@ -121,14 +121,14 @@
     let prompt = caller::prompt(cluster::MODEL, true, 1_000_000);
     let before = usage(cluster, &[host]).remove(0);
     let mut open = Vec::new();
-    while open.len() < OPEN {
+    while open.len() < OPEN_STREAMS {
         let headers = [("loftcove-deadline-ms", "60000")];
         let answer = through.open("POST", "/v1/chat/completions", &headers, &prompt).await;
         open.extend(answer.filter(|answer| answer.status() == 200));
     }
-    // The streams' buffers fill while nobody reads.
+    // The buffers of the streams fill, since the streams are not read.
     tokio::time::sleep(Duration::from_secs(2)).await;
     let after = usage(cluster, &[host]).remove(0);
-    let each = (after.memory.saturating_sub(before.memory)) / OPEN as u64;
-    println!("memory idle={} per unread stream={each} bytes", before.memory);
+    let per_stream = (after.memory.saturating_sub(before.memory)) / OPEN_STREAMS as u64;
+    println!("memory idle={} per unread stream={per_stream} bytes", before.memory);
 }
