--- a/bench/src/fleet.rs
+++ b/bench/src/fleet.rs
@@ -1,9 +1,8 @@
-//! Entry hosts' real decision machines before fake backend servers.
+//! A discrete-event simulation of entry hosts in front of fake backend servers.
 //!
-//! A small queue of events in one thread: requests arrive by lot, the
-//! machines decide, servers with slots take time. It is a fake at the
-//! interface of the decisions and knows nothing of processes or networks but
-//! a fixed delay.
+//! Each entry host runs the real [`balancer::Balancer`]. One thread processes a queue of events:
+//! requests arrive at random, the balancers decide, and servers with a limited number of slots take
+//! time to answer. Of processes and networks only a fixed delay is simulated.
 
 mod plan;
 pub mod shed;
@@ -25,42 +24,42 @@
 /// One-way delay between an entry host and an agent.
 const DELAY: Duration = Duration::from_micros(500);
 
-/// What came of a run.
+/// Result of a run.
 #[derive(Debug, Clone)]
 pub struct Result {
-    /// Requests that arrived.
+    /// Number of requests that arrived.
     pub offered: u64,
-    /// Attempts that were sent.
+    /// Number of attempts that were dispatched.
     pub sent: u64,
-    /// Attempts that an agent refused for want of a slot.
+    /// Number of attempts that an agent rejected because no slot was free.
     pub full: u64,
-    /// Attempts that a server refused, asking for rest.
+    /// Number of attempts that a server rejected with a request for rest.
     pub shed: u64,
-    /// What servers asked for, and what came all the same.
+    /// When servers asked for rest, and the requests that reached them.
     pub shed_log: shed::Log,
-    /// Requests answered in time.
+    /// Number of requests answered in time.
     pub good: u64,
-    /// Requests that arrived and were answered in time, of team 0 and of all others.
+    /// Number of requests that arrived and that were answered in time, for team 0 and all others.
     pub by_team: [(u64, u64); 2],
-    /// Requests given up.
+    /// Number of requests that the entry hosts rejected.
     pub refused: u64,
-    /// Time from arrival to the start in a slot, microseconds, urgent and others.
+    /// Time from arrival to the start in a slot, microseconds, for urgent and for other requests.
     pub wait: [Histogram<u64>; 2],
-    /// Largest number of requests at one server relative to the mean, averaged over samples.
+    /// Largest number of running requests on a server relative to the mean, averaged over samples.
     pub spread: f64,
-    /// Starts that found their prefix in the cache.
+    /// Number of starts whose prefix was cached.
     pub hits: u64,
-    /// Starts.
+    /// Number of starts in a slot.
     pub starts: u64,
 }
 
 impl Result {
-    /// A quantile of the waits, milliseconds.
+    /// Returns a quantile of the wait times, milliseconds.
     pub fn wait_ms(&self, class: usize, quantile: f64) -> f64 {
         self.wait[class].value_at_quantile(quantile) as f64 / 1_000.0
     }
 
-    /// Requests answered in time, a second.
+    /// Returns the requests answered in time, per second.
     pub fn goodput(&self, plan: &Plan) -> f64 {
         self.good as f64 / plan.duration.as_secs_f64()
     }
@@ -73,9 +72,9 @@
     Reach(usize, Attempt),
     /// An attempt leaves its slot.
     Finish(usize, Attempt),
-    /// The news reaches the entry host.
+    /// The end of an attempt reaches the entry host, with the server's load.
     End(usize, Attempt, Ended, Load),
-    /// Servers write their reports, which arrive one lag later.
+    /// Servers write their reports, which arrive after the plan's lag.
     Sample,
     /// The reports of a sample arrive.
     Deliver,
@@ -97,7 +96,7 @@
     Broken,
 }
 
-/// Load of a server as its answer bears it.
+/// Load of a server, as its response reports it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Load {
     sequence: u64,
@@ -119,12 +118,13 @@
     sequence: u64,
 }
 
-/// A run under way.
+/// State of a run.
 struct Fleet<'a, P> {
     plan: &'a Plan,
     now: clock::Instant,
     events: BinaryHeap<Reverse<(clock::Instant, u64, Event)>>,
-    order: u64,
+    /// Sequence number of the last event, which orders the events of the same time.
+    sequence: u64,
     rng: ChaCha8Rng,
     entries: Vec<balancer::Balancer<P>>,
     servers: Vec<Server>,
@@ -134,12 +134,12 @@
     result: Result,
 }
 
-/// Teams.
+/// Number of teams.
 const TEAMS: usize = 10;
-/// Time between two ticks of an entry host's machine.
+/// Interval between ticks of an entry host's balancer.
 const TICK: Duration = Duration::from_millis(20);
 
-/// Runs a plan; `policy` makes the policy of each entry host.
+/// Runs a plan. `policy` creates the policy of each entry host.
 pub fn run<P: policy::Policy>(plan: &Plan, policy: impl Fn(ChaCha8Rng) -> P) -> Result {
     let histogram = || Histogram::new(3).expect("three digits are allowed");
     let result = Result {
@@ -166,7 +166,7 @@
         plan,
         now: clock::Instant::ZERO,
         events: BinaryHeap::new(),
-        order: 0,
+        sequence: 0,
         rng: ChaCha8Rng::seed_from_u64(42),
         entries: (0..plan.entries).map(entry).collect(),
         servers: (0..plan.servers).map(|_| Server::default()).collect(),
@@ -176,7 +176,7 @@
         result,
     };
     fleet.start();
-    fleet.drain();
+    fleet.process_events();
     fleet.finish()
 }
 
@@ -204,21 +204,21 @@
         }
         let first = self.sample();
         self.deliver(&first);
-        self.at(Duration::ZERO, Event::Sample);
-        self.at(Duration::ZERO, Event::Arrive);
-        self.at(TICK, Event::Tick);
+        self.schedule(Duration::ZERO, Event::Sample);
+        self.schedule(Duration::ZERO, Event::Arrive);
+        self.schedule(TICK, Event::Tick);
     }
 
-    fn at(&mut self, after: Duration, event: Event) {
-        self.order += 1;
-        self.events.push(Reverse((self.now + after, self.order, event)));
+    fn schedule(&mut self, after: Duration, event: Event) {
+        self.sequence += 1;
+        self.events.push(Reverse((self.now + after, self.sequence, event)));
     }
 
-    fn open(&self) -> bool {
+    fn accepts_arrivals(&self) -> bool {
         self.now < clock::Instant::ZERO + self.plan.duration
     }
 
-    fn drain(&mut self) {
+    fn process_events(&mut self) {
         while let Some(Reverse((now, _, event))) = self.events.pop() {
             self.now = now;
             match event {
@@ -230,19 +230,19 @@
                 }
                 Event::End(server, attempt, ended, load) => {
                     if self.plan.piggyback {
-                        self.learn(server, attempt.entry, load);
+                        self.apply_load(server, attempt.entry, load);
                     }
                     if ended == Ended::Shed {
-                        self.notice(server, attempt.entry);
+                        self.apply_notice(server, attempt.entry);
                     }
                     self.end(attempt, ended);
                 }
                 Event::Sample => {
                     let reports = self.sample();
                     self.samples.push_back(reports);
-                    self.at(self.plan.lag, Event::Deliver);
-                    if self.open() {
-                        self.at(self.plan.lag, Event::Sample);
+                    self.schedule(self.plan.lag, Event::Deliver);
+                    if self.accepts_arrivals() {
+                        self.schedule(self.plan.lag, Event::Sample);
                     }
                 }
                 Event::Deliver => {
@@ -253,10 +253,10 @@
                 Event::Tick => {
                     for entry in 0..self.entries.len() {
                         let actions = self.entries[entry].tick(self.now);
-                        self.act(entry, actions);
+                        self.execute(entry, actions);
                     }
-                    if self.open() || !self.requests.is_empty() {
-                        self.at(TICK, Event::Tick);
+                    if self.accepts_arrivals() || !self.requests.is_empty() {
+                        self.schedule(TICK, Event::Tick);
                     }
                 }
             }
@@ -264,16 +264,16 @@
     }
 
     fn arrive(&mut self) {
-        if !self.open() {
+        if !self.accepts_arrivals() {
             return;
         }
         let gap = rand_distr::Exp::new(self.plan.rate).expect("the rate is positive");
         let gap: f64 = gap.sample(&mut self.rng);
-        self.at(Duration::from_secs_f64(gap), Event::Arrive);
+        self.schedule(Duration::from_secs_f64(gap), Event::Arrive);
         let entry = self.rng.random_range(0..self.entries.len());
-        let greed = self.plan.team_0_weight;
-        let lot = self.rng.random_range(0.0..greed + (TEAMS - 1) as f64);
-        let team = if lot < greed { 0 } else { 1 + (lot - greed) as u32 };
+        let weight = self.plan.team_0_weight;
+        let draw = self.rng.random_range(0.0..weight + (TEAMS - 1) as f64);
+        let team = if draw < weight { 0 } else { 1 + (draw - weight) as u32 };
         let urgent = self.rng.random_bool(self.plan.urgent);
         let prefix = 1 + self.rng.random_range(0..self.plan.prefixes);
         let deadline = self.now + self.plan.time_limit;
@@ -295,10 +295,10 @@
         let (ticket, actions) = self.entries[entry].arrive(arrival, self.now);
         let request = Request { arrived: self.now, deadline, team, urgent, prefix };
         self.requests.insert((entry, ticket.as_u32()), request);
-        self.act(entry, actions);
+        self.execute(entry, actions);
     }
 
-    fn act(&mut self, entry: usize, actions: Vec<balancer::Action>) {
+    fn execute(&mut self, entry: usize, actions: Vec<balancer::Action>) {
         for action in actions {
             match action {
                 balancer::Action::Send(dispatch) => {
@@ -306,7 +306,7 @@
                     let attempt = Attempt { entry, ticket, number: dispatch.attempt };
                     let server = dispatch.choice.server.as_u32() as usize;
                     self.result.sent += 1;
-                    self.at(DELAY, Event::Reach(server, attempt));
+                    self.schedule(DELAY, Event::Reach(server, attempt));
                 }
                 balancer::Action::Refuse(refusal) => {
                     self.result.refused += 1;
@@ -340,13 +340,13 @@
         self.result.starts += 1;
         self.result.hits += u64::from(hit);
         let mean = self.plan.service.as_secs_f64();
-        // Half of the time is the prompt, which a cached prefix spares.
+        // Half of the time is the prompt. A cached prefix saves four fifths of that half.
         let prompt = if hit { 0.1 } else { 0.5 };
         let answer: f64 =
             rand_distr::Exp::new(2.0).expect("the rate is positive").sample(&mut self.rng);
         let slow = if server < self.plan.slow { 10.0 } else { 1.0 };
         let after = Duration::from_secs_f64(mean * (prompt + answer) * slow);
-        self.at(after, Event::Finish(server, attempt));
+        self.schedule(after, Event::Finish(server, attempt));
         let first = Duration::from_secs_f64(mean * prompt * slow);
         let ticket = entity::Ticket::from_u32(attempt.ticket);
         self.entries[attempt.entry].begin(ticket, first, self.now);
@@ -355,28 +355,28 @@
     fn reply(&mut self, server: usize, attempt: Attempt, ended: Ended) {
         self.servers[server].sequence += 1;
         let Server { sequence, running, .. } = self.servers[server];
-        self.at(DELAY, Event::End(server, attempt, ended, Load { sequence, running }));
+        self.schedule(DELAY, Event::End(server, attempt, ended, Load { sequence, running }));
     }
 
-    /// Whether a server sheds a request of an entry host.
+    /// Returns whether a server sheds a request of an entry host.
     fn sheds(&mut self, server: usize, entry: usize) -> bool {
         let Some(plan) = &self.plan.shed else { return false };
-        let lot = self.rng.random_range(0.0..1.0);
-        self.result.shed_log.record_arrival(plan, (server, entry), lot, self.now)
+        let draw = self.rng.random_range(0.0..1.0);
+        self.result.shed_log.record_arrival(plan, (server, entry), draw, self.now)
     }
 
-    fn notice(&mut self, server: usize, entry: usize) {
+    fn apply_notice(&mut self, server: usize, entry: usize) {
         let Some(plan) = &self.plan.shed else { return };
         let server = entity::Server::from_u32(server as u32);
         let (_, actions) = self.entries[entry].apply_notice(server, &plan.notice(), self.now);
-        self.act(entry, actions);
+        self.execute(entry, actions);
     }
 
-    fn learn(&mut self, server: usize, entry: usize, load: Load) {
+    fn apply_load(&mut self, server: usize, entry: usize, load: Load) {
         let report = report(load.sequence, load.running, self.plan.slots);
         let server = entity::Server::from_u32(server as u32);
         let actions = self.entries[entry].report(server, report, self.now);
-        self.act(entry, actions);
+        self.execute(entry, actions);
     }
 
     fn end(&mut self, attempt: Attempt, ended: Ended) {
@@ -395,7 +395,7 @@
         };
         let ticket = entity::Ticket::from_u32(attempt.ticket);
         let actions = self.entries[attempt.entry].end(ticket, end, self.now);
-        self.act(attempt.entry, actions);
+        self.execute(attempt.entry, actions);
     }
 
     fn sample(&mut self) -> Vec<server::Report> {
@@ -417,7 +417,7 @@
             for (server, report) in reports.iter().enumerate() {
                 let server = entity::Server::from_u32(server as u32);
                 let actions = self.entries[entry].report(server, *report, self.now);
-                self.act(entry, actions);
+                self.execute(entry, actions);
             }
         }
     }
@@ -440,13 +440,13 @@
     }
 }
 
-/// The one pool.
+/// Returns the only pool.
 fn pool() -> entity::Pool {
     entity::Pool::from_u32(0)
 }
 
 impl Server {
-    /// Whether the cache has the prefix; it has it afterwards.
+    /// Returns whether the prefix is cached, and makes it the most recent one in the cache.
     fn lookup(&mut self, prefix: u64, capacity: usize) -> bool {
         let found = self.cache.iter().position(|cached| *cached == prefix);
         if let Some(index) = found {
--- a/bench/src/fleet/plan.rs
+++ b/bench/src/fleet/plan.rs
@@ -1,47 +1,47 @@
-//! What a fleet is made of and what comes to it.
+//! Parameters of a simulated fleet and its requests.
 
 use std::time::Duration;
 
 use crate::fleet::shed;
 
-/// What is run.
+/// Parameters of a run.
 #[derive(Debug, Clone)]
 pub struct Plan {
-    /// Entry hosts.
+    /// Number of entry hosts.
     pub entries: usize,
-    /// Backend servers.
+    /// Number of backend servers.
     pub servers: usize,
-    /// Slots of each.
+    /// Number of slots of each server.
     pub slots: u32,
-    /// Mean time that a request takes in a slot.
+    /// Mean time that a request occupies a slot.
     pub service: Duration,
-    /// Requests a second, over all entry hosts.
+    /// Requests per second, over all entry hosts.
     pub rate: f64,
-    /// Age of a load report when it arrives, and time between two.
+    /// Age of a load report when it arrives, and interval between reports.
     pub lag: Duration,
-    /// How long requests arrive.
+    /// Time during which requests arrive.
     pub duration: Duration,
-    /// Time that a request is given.
+    /// Time from a request's arrival to its deadline.
     pub time_limit: Duration,
-    /// Part of the requests that is urgent, precedence 0 instead of 1.
+    /// Fraction of the requests that is urgent: they have precedence 0 instead of 1.
     pub urgent: f64,
-    /// Requests of team 0 for each one of any of the nine other teams.
+    /// Requests of team 0 per request of each of the nine other teams.
     pub team_0_weight: f64,
-    /// Kinds of prompts, each with its own prefix.
+    /// Number of kinds of prompts, each with its own prefix.
     pub prefixes: u64,
-    /// Prefixes that a server's cache holds.
+    /// Number of prefixes that fit in a server's cache.
     pub cache: usize,
-    /// Servers that take ten times as long.
+    /// Number of servers that take ten times as long.
     pub slow: usize,
-    /// Servers that break off every attempt.
+    /// Number of servers that abort every attempt.
     pub failing: usize,
-    /// Waiters of one entry host at the most.
+    /// Maximum number of waiting requests at one entry host.
     pub capacity: usize,
-    /// Retries for each first attempt.
+    /// Maximum number of retries per first attempt.
     pub retry_ratio: f64,
-    /// Whether refusals and whole answers bear the agent's load report.
+    /// Whether rejections and whole responses carry the agent's load report.
     pub piggyback: bool,
-    /// Servers that ask for rest.
+    /// Load shedding by servers that ask for rest.
     pub shed: Option<shed::Plan>,
 }
 
@@ -71,7 +71,7 @@
 }
 
 impl Plan {
-    /// The plan at a multiple of the rate that the servers can bear.
+    /// Sets the rate to a multiple of the rate that the servers can sustain.
     pub fn at_load(mut self, load: f64) -> Plan {
         let slots = self.servers as f64 * f64::from(self.slots);
         self.rate = slots / self.service.as_secs_f64() * load;
