--- a/bench/src/spread.rs
+++ b/bench/src/spread.rs
@@ -1,4 +1,4 @@
-//! How long the search for a better map takes, by the size of the group.
+//! Measures the time of the search for a better map, by the size of the group.
 
 use std::time::{Duration, Instant};
 
@@ -8,18 +8,18 @@
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::SeedableRng as _;
 
-/// Sets, and experts of a set to a rank, of the groups that are searched.
+/// Number of layer sets, and of experts of a set per rank, in the groups.
 const SHAPE: (usize, usize) = (10, 2);
-/// Experts of a set that a rank may hold.
+/// Maximum number of experts of a set on a rank.
 const PLACEMENTS: usize = 3;
-/// Ranks of the groups.
+/// Number of ranks in each group.
 const RANKS: [usize; 4] = [16, 64, 192, 1_024];
-/// Times that the demand shifts.
+/// Number of shifts of the demand.
 const SHIFTS: usize = 3;
-/// Goals while the engines are idle and while they are full.
+/// Target peak and minimum gain, for idle and for fully loaded engines.
 const GOALS: [(f64, f64); 2] = [(1.50, 0.06), (1.06, 0.02)];
 
-/// Prints the time of each search, what it reaches, and the bytes that tell it.
+/// Prints the time of each search, the peak that it reaches and the size of the encoded map.
 pub fn print() {
     for ranks in RANKS {
         let experts = SHAPE.1 * ranks;
@@ -35,11 +35,12 @@
     }
 }
 
-/// Load of an expert, of which the largest are some eight times the mean.
+/// Returns a random load of an expert, 20 to 402. The largest are about three times the mean.
 fn load(rng: &mut ChaCha8Rng) -> f64 {
     20.0 * (rng.random::<f64>() * 3.0).exp()
 }
 
+/// Runs and prints one search, and returns the map that it reaches.
 fn search(
     map: difference::Map,
     loads: &[Vec<f64>],
@@ -50,10 +51,10 @@
     let bounds = spread::Bounds { placements: PLACEMENTS, spare: PLACEMENTS };
     let times =
         stage::Times { copy: Duration::from_millis(200), switch: Duration::from_millis(300) };
-    let begun = Instant::now();
+    let start = Instant::now();
     let stage =
         stage::plan(&map, &demand, bounds, spread::Goal { target_peak: even, min_gain }, times);
-    let ms = begun.elapsed().as_secs_f64() * 1_000.0;
+    let ms = start.elapsed().as_secs_f64() * 1_000.0;
     let Some(stage) = stage else { return map };
     let bytes = difference::encode(&map, &stage.map).map_or(0, |bytes| bytes.len());
     println!(
