--- a/bench/src/capacity.rs
+++ b/bench/src/capacity.rs
@@ -1,4 +1,5 @@
-//! The slopes that `docs/CAPACITY.md` is worked out from.
+//! Measures the slopes from which `docs/CAPACITY.md` is calculated: sizes, times and memory per
+//! unit.
 
 use std::time::{Duration, Instant};
 
@@ -22,6 +23,7 @@
     decision_times();
 }
 
+/// Prints the sizes of messages and records.
 fn sizes() {
     let report = wire::Report {
         incarnation: 1_764_000_000_000_000,
@@ -35,7 +37,7 @@
         sequence: 100_000,
         alive: true,
     };
-    // Five bytes of gRPC and nine of HTTP/2 framing come to each message.
+    // Framing adds 5 bytes of gRPC and 9 bytes of HTTP/2 to each message.
     println!("report bytes={}", report.encoded_len() + FRAMING);
     let version = |kind: wire::Kind| wire::Version { kind: kind.into(), revision: 1_000_000 };
     let kinds = [wire::Kind::Bundle, wire::Kind::Hosts, wire::Kind::Homes];
@@ -59,12 +61,13 @@
     println!("homes bytes={json} at 64 slots");
 }
 
-/// Bytes that gRPC and HTTP/2 add to a message.
+/// Bytes that gRPC and HTTP/2 framing add to a message.
 const FRAMING: usize = 14;
 
-fn machine(servers: u32) -> balancer::Balancer<loftcove_decision::routing::policy::Blend> {
+/// Returns a balancer with that many connected servers.
+fn balancer(servers: u32) -> balancer::Balancer<loftcove_decision::routing::policy::Blend> {
     let rng = rand_chacha::ChaCha8Rng::seed_from_u64(1);
-    let mut machine =
+    let mut balancer =
         balancer::Balancer::new(routing::daemon_policy(rng), &balancer::Options::default());
     let listing = |server: u32| server::Listing {
         host: format!("server{server:05}").into(),
@@ -79,25 +82,26 @@
         cold: None,
     };
     let now = clock::Instant::ZERO;
-    machine.list((0..servers).map(listing).collect(), now);
+    balancer.list((0..servers).map(listing).collect(), now);
     for server in 0..servers {
         let server = entity::Server::from_u32(server);
-        machine.set_connected(server, true, now);
-        machine.report(server, report(1), now);
+        balancer.set_connected(server, true, now);
+        balancer.report(server, report(1), now);
     }
-    machine
+    balancer
 }
 
 fn report(sequence: u64) -> server::Report {
     server::Report { incarnation: 1, sequence, slots: 32, alive: true, ..server::Report::default() }
 }
 
+/// Prints the times of a request and a report in the balancer, and of the admission queue.
 fn balancer_times() {
     const ROUNDS: u32 = 20_000;
     for servers in [16, 135, 525, 4_200] {
-        let mut machine = machine(servers);
+        let mut balancer = balancer(servers);
         let mut now = clock::Instant::ZERO;
-        let began = Instant::now();
+        let start = Instant::now();
         for round in 0..ROUNDS {
             now = now + Duration::from_micros(100);
             let arrival = balancer::Arrival {
@@ -113,16 +117,16 @@
                 prefix: u64::from(round % 64) + 1,
                 suspect: None,
             };
-            let (ticket, _) = machine.arrive(arrival, now);
-            machine.end(ticket, balancer::End::Answered, now);
+            let (ticket, _) = balancer.arrive(arrival, now);
+            balancer.end(ticket, balancer::End::Answered, now);
         }
-        let request = began.elapsed() / ROUNDS;
-        let began = Instant::now();
+        let request = start.elapsed() / ROUNDS;
+        let start = Instant::now();
         for round in 0..ROUNDS {
             let server = entity::Server::from_u32(round % servers);
-            machine.report(server, report(2 + u64::from(round)), now);
+            balancer.report(server, report(2 + u64::from(round)), now);
         }
-        let report = began.elapsed() / ROUNDS;
+        let report = start.elapsed() / ROUNDS;
         println!("balancer servers={servers} request={request:?} report={report:?}");
     }
     let mut queue = admission::Queue::new(1_024, Duration::from_secs(1));
@@ -135,23 +139,25 @@
         expires: clock::Instant::from_millis(1_000_000),
         since: clock::Instant::ZERO,
     };
-    let began = Instant::now();
+    let start = Instant::now();
     for number in 0..1_000 {
         queue.push(waiter(number), clock::Instant::ZERO).unwrap_or_default();
     }
     while queue.pop(entity::Pool::from_u32(0)).is_some() {}
-    println!("queue of 1000 from 790 teams, push and pop={:?} each", began.elapsed() / 1_000);
+    println!("queue of 1000 from 790 teams, push and pop={:?} each", start.elapsed() / 1_000);
 }
 
+/// Returns the resident memory of this process, bytes, with pages of 4 KiB.
 fn memory() -> u64 {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = text.split_whitespace().nth(1).and_then(|field| field.parse::<u64>().ok());
     pages.unwrap_or(0) * 4_096
 }
 
+/// Prints the time of a claim at a home, and the memory per claimed key.
 fn key_memory() {
     const KEYS: u64 = 200_000;
-    let me = table::Holder { host: "host".into(), incarnation: 1 };
+    let holder = table::Holder { host: "host".into(), incarnation: 1 };
     let rules = keeper::Rules {
         lease: Duration::from_secs(3_600),
         grace: Duration::from_secs(3_600),
@@ -159,24 +165,25 @@
         window: Duration::from_secs(3_600),
         capacity: usize::MAX,
     };
-    let mut keeper = keeper::Keeper::new(me.clone(), rules);
-    let entry = table::Entry { home: me, witness: None, epoch: 1, way: table::Way::Settled };
+    let mut keeper = keeper::Keeper::new(holder.clone(), rules);
+    let entry = table::Entry { home: holder, witness: None, epoch: 1, way: table::Way::Settled };
     let table = table::Table { nonce: String::new(), slots: vec![entry] };
     let wall = clock::Wall::from_millis(1_800_000_000_000);
     keeper.confirm(1, table, clock::Instant::ZERO, wall);
     let before = memory();
-    let began = Instant::now();
+    let start = Instant::now();
     for number in 0..KEYS {
         let time = uuid::Timestamp::from_unix(uuid::NoContext, 1_799_999_999, number as u32);
-        let key = key::Key::new(uuid::Uuid::new_v7(time)).expect("it is a UUIDv7");
+        let key = key::Key::new(uuid::Uuid::new_v7(time)).expect("the UUID is version 7");
         let claim = keeper::Claim { key, fingerprint: number, token: u128::from(number) };
         let standing = keeper.claim(claim, clock::Instant::ZERO, wall);
         assert_eq!(standing, keeper::Standing::Granted);
     }
-    let each = (memory() - before) / KEYS;
-    println!("home claim={:?} memory per key={each} bytes", began.elapsed() / KEYS as u32);
+    let per_key = (memory() - before) / KEYS;
+    println!("home claim={:?} memory per key={per_key} bytes", start.elapsed() / KEYS as u32);
 }
 
+/// Prints the times of placement decisions.
 fn decision_times() {
     for (name, shape) in [("today", placement::TODAY), ("target", placement::TARGET)] {
         let mut source = drift::Source::new(drift::Drift::Mornings, shape, 1);
@@ -185,10 +192,11 @@
         let mut times = Vec::new();
         for number in 0..20 {
             let interval = source.interval(number, 20);
-            let seen = policy::Observation { load: &interval.load, health: &interval.health };
-            let began = Instant::now();
-            let next = policy.decide(seen, &layout);
-            times.push(began.elapsed());
+            let observation =
+                policy::Observation { load: &interval.load, health: &interval.health };
+            let start = Instant::now();
+            let next = policy.decide(observation, &layout);
+            times.push(start.elapsed());
             layout = next.unwrap_or(layout);
         }
         let first = times[0];
