--- a/bench/src/lib.rs
+++ b/bench/src/lib.rs
@@ -1,13 +1,16 @@
-//! Measurements of the decisions, and of the path through real processes.
+//! Benchmarks of the decisions, and of the path through real processes.
 //!
-//! [`fleet`] drives the entry hosts' real decision machines against fake
-//! backend servers, [`routing`] and [`overload`] ask it their questions.
-//! [`drift`] makes loads of experts that change, [`placement`] compares the
-//! policies over them, [`spread`] times the search for a map of a large group.
-//! [`poison`] plays a request that ends its servers, [`suspects`] ways to find it
-//! without harm to those beside it, [`rest`] servers that ask for rest. [`path`] measures real processes, [`capacity`] the slopes that `docs/CAPACITY.md` is worked out from. Everything but [`path`] and the
-//! times in [`capacity`] is counted work and the same in every run; the bounds
-//! in `bench/tests` hold it there.
+//! - [`fleet`] simulates entry hosts with their real balancers in front of fake backend servers.
+//!   [`routing`], [`overload`] and [`rest`] run it.
+//! - [`drift`] generates expert loads that change over time. [`placement`] compares the placement
+//!   policies over them. [`spread`] times the search for a map of a large group.
+//! - [`poison`] simulates a request that ends its servers. [`suspects`] compares ways to identify
+//!   such requests without harm to those that run beside them.
+//! - [`path`] measures real processes.
+//! - [`capacity`] measures the slopes from which `docs/CAPACITY.md` is calculated.
+//!
+//! [`path`], the times in [`capacity`] and those of [`spread`] are measured. Everything else is
+//! counted work, which is the same in every run; the tests in `bench/tests` set bounds on it.
 
 pub mod capacity;
 pub mod drift;
--- a/bench/src/main.rs
+++ b/bench/src/main.rs
@@ -1,5 +1,5 @@
 //! `bench placement|curve|routing|overload|rest|path|capacity|spread|poison|suspects`: prints a
-//! measurement. `bench poison FILE` also draws it, as SVG.
+//! measurement. `bench poison FILE` also draws it to an SVG file.
 
 use loftcove_bench::{
     capacity, overload, path, placement, poison, rest, routing, spread, suspects,
@@ -21,7 +21,7 @@
             poison::print();
             for file in arguments.finish() {
                 if let Err(error) = poison::draw(file.as_ref()) {
-                    eprintln!("not drawn: {error}");
+                    eprintln!("cannot draw the chart: {error}");
                 }
             }
         }
