--- a/bench/tests/bounds.rs
+++ b/bench/tests/bounds.rs
@@ -1,9 +1,9 @@
-//! Regression bounds on counted work: the same figures in every run.
+//! Regression bounds on counted work, whose figures are the same in every run.
 
 use loftcove_bench::{drift, fleet, overload, placement, poison, rest, routing};
 use loftcove_decision::placement::policy;
 
-/// A group as today, for half a day.
+/// Number of intervals of a run: half a day.
 const INTERVALS: usize = 48;
 
 fn score<P: policy::Policy>(policy: P, drift: drift::Drift) -> placement::Score {
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn incremental_placement_holds_its_skew_at_a_fraction_of_the_moves() {
+fn incremental_placement_keeps_skew_low_with_a_fraction_of_the_moves() {
     for drift in drift::ALL {
         let repack = score(policy::Repack { replicas: 8 }, drift);
         let never = score(policy::Never, drift);
@@ -23,7 +23,7 @@
             assert!(own.mean < never.mean * 0.62, "{drift:?}: {own:?} against {never:?}");
         }
     }
-    // What swings between two loads must not be chased.
+    // The policy must not follow a load that oscillates.
     let own = policy::Incremental::new(placement::rules(1.0, 1.0));
     let swing = score(own, drift::Drift::Oscillation);
     let repack = score(policy::Repack { replicas: 8 }, drift::Drift::Oscillation);
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn goodput_holds_flat_and_urgent_requests_pass_under_overload() {
+fn goodput_stays_flat_and_urgent_requests_wait_less_under_overload() {
     let plan = |load| {
         fleet::Plan { duration: std::time::Duration::from_secs(20), ..fleet::Plan::default() }
             .at_load(load)
@@ -54,13 +54,13 @@
 }
 
 #[test]
-fn a_greedy_team_does_not_touch_the_others() {
+fn a_team_with_excess_requests_does_not_starve_the_others() {
     let share = overload::share_of_others(50.0, 2.0);
-    assert!(share > 0.9, "the others got {share:.2} of what they asked");
+    assert!(share > 0.9, "the other teams got {share:.2} of their requests answered");
 }
 
 #[test]
-fn the_chosen_routing_beats_its_baselines() {
+fn the_routing_policy_of_the_daemon_beats_its_baselines() {
     let plan = fleet::Plan::default().at_load(0.9);
     let rows = routing::compare(&plan);
     let find =
@@ -75,30 +75,34 @@
 }
 
 #[test]
-fn a_request_that_ends_servers_ends_few_and_takes_nobody_along() {
+fn a_request_that_ends_servers_is_rejected_soon_and_no_other_request_is() {
     for gateways in [30, 300] {
         for seed in 0..10 {
             let plan = |way| poison::Plan { way, gateways, at_once: 1, pause_ms: 500, seed };
-            let told = poison::run(&plan(poison::Way::Told));
-            assert!(told.ended <= 3, "{gateways} gateways, seed {seed}: {told:?}");
-            assert_eq!(told.blamed, 0, "{gateways} gateways, seed {seed}: {told:?}");
-            assert!(told.known_ms.is_some_and(|ms| ms < 3_000), "{told:?}");
+            let exchanged = poison::run(&plan(poison::Way::Told));
+            assert!(exchanged.ended <= 3, "{gateways} gateways, seed {seed}: {exchanged:?}");
+            assert_eq!(exchanged.blamed, 0, "{gateways} gateways, seed {seed}: {exchanged:?}");
+            assert!(exchanged.known_ms.is_some_and(|ms| ms < 3_000), "{exchanged:?}");
             assert!(poison::run(&plan(poison::Way::Nobody)).ended > 10);
         }
     }
 }
 
-/// A third of the servers sheds requests for eight seconds and asks for three
-/// seconds of rest each time: they get it, and nobody loses by it.
+/// Guards against requests that reach a server during its rest, and against requests lost by it.
+///
+/// 30% of the servers shed requests for 8 s and ask for 3 s of rest each time.
 #[test]
-fn servers_that_ask_for_rest_get_it_at_any_number_of_gateways() {
+fn rest_that_servers_ask_for_is_applied_at_any_number_of_gateways() {
     for size in [(8, 16), (100, 100)] {
         let at = |applied| fleet::run(&rest::plan(size, 0.3, 0.5, applied), routing::daemon_policy);
         let (guessed, applied) = (at(false), at(true));
-        assert!(rest::most_during_rest(&guessed) > 2, "{size:?}: the load shows nothing");
+        assert!(
+            rest::most_during_rest(&guessed) > 2,
+            "{size:?}: too few requests reach servers during their rest to compare"
+        );
         assert!(
             rest::most_during_rest(&applied) <= 2,
-            "{size:?}: {} in a rest",
+            "{size:?}: {} requests in a rest",
             rest::most_during_rest(&applied)
         );
         let served = applied.good as f64 / applied.offered as f64;
