--- a/bench/src/overload.rs
+++ b/bench/src/overload.rs
@@ -1,10 +1,12 @@
-//! Limits under overload, failure and greed, without a shared counter.
+//! Measures the limits, which use no shared counter, under overload, with failing servers and with
+//! one team that asks for far more than the others.
 
 use crate::fleet::Plan;
 use crate::{fleet, routing};
 
+/// Runs a plan and prints its row.
 fn row(name: &str, plan: &Plan) {
-    let result = fleet::run(plan, routing::chosen);
+    let result = fleet::run(plan, routing::daemon_policy);
     println!(
         "{name:<24} {:>8} {:>8.0} {:>6.2} {:>9.1} {:>9.1} {:>8} {:>8} {:>6.0}%",
         result.offered,
@@ -18,19 +20,20 @@
     );
 }
 
-/// Part of what the teams other than team 0 asked that was answered in time.
+/// Returns the fraction of the requests of all teams but team 0 that was answered in time.
 fn others(result: &fleet::Result) -> f64 {
     let (asked, good) = result.by_team[1];
     good as f64 / asked.max(1) as f64
 }
 
-/// That part while team 0 asks `greed` times as much as any other, at a load.
-pub fn share_of_others(greed: f64, load: f64) -> f64 {
-    let plan = Plan { greed, ..Plan::default() }.at_load(load);
-    others(&fleet::run(&plan, routing::chosen))
+/// Returns that fraction at a load, while team 0 sends `team_0_weight` times as many requests as
+/// any other team.
+pub fn share_of_others(team_0_weight: f64, load: f64) -> f64 {
+    let plan = Plan { team_0_weight, ..Plan::default() }.at_load(load);
+    others(&fleet::run(&plan, routing::daemon_policy))
 }
 
-/// Prints goodput and waits at growing load, with 7 and 400 entry hosts.
+/// Prints goodput and wait times at growing load, for 7, 13 and 400 entry hosts, and special cases.
 pub fn print() {
     println!(
         "{:<24} {:>8} {:>8} {:>6} {:>9} {:>9} {:>8} {:>8} {:>7}",
@@ -48,7 +51,7 @@
         let plan = Plan { entries, servers, piggyback: false, ..Plan::default() };
         row(&format!("{entries}x{servers} no piggyback, 0.8"), &plan.at_load(0.8));
     }
-    row("greedy team, load=2", &Plan { greed: 50.0, ..base }.at_load(2.0));
+    row("greedy team, load=2", &Plan { team_0_weight: 50.0, ..base }.at_load(2.0));
     row("slow server, load=0.7", &Plan { slow: 1, ..base }.at_load(0.7));
     row("half fail, load=0.4", &Plan { failing: 8, ..base }.at_load(0.4));
     row("half fail, load=1", &Plan { failing: 8, ..base }.at_load(1.0));
