--- a/bench/src/path.rs
+++ b/bench/src/path.rs
@@ -47,7 +47,7 @@
     let host = cluster.entries().remove(0);
     let through = cluster.caller(&host);
     let sms = cluster.agents(cluster::SERVICE).remove(0);
-    let direct = cluster.direct(&sms);
+    let direct = cluster.server_caller(&sms);
     let path = format!("/services/{}/send", cluster::SERVICE);
     calls(&direct, "/send", 300).await;
     calls(&through, &path, 300).await;
@@ -88,7 +88,7 @@
     let mut times = Histogram::new(3).expect("three digits are allowed");
     for _ in 0..count {
         let began = Instant::now();
-        let answer = caller.ask("POST", path, &[], "{}").await;
+        let answer = caller.request("POST", path, &[], "{}").await;
         assert_eq!(answer.status, 200, "{answer:?}");
         times.record(began.elapsed().as_micros() as u64).unwrap_or_default();
     }
--- a/soak/src/check.rs
+++ b/soak/src/check.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use loftcove_tests::request::Arrival;
-use loftcove_tests::visits::{self, Excess, Excuse, Overrun, Sent, Visit};
+use loftcove_tests::visits::{self, Excess, Exemption, Overrun, Sent, Visit};
 
 use crate::client::{DEADLINE, End, Kind, Seen};
 use crate::inject::Span;
@@ -144,8 +144,8 @@
     }
 }
 
-impl Excuse for Done<'_> {
-    fn holds(&self, gateway: u8, server: &str, from: u64, to: u64) -> bool {
+impl Exemption for Done<'_> {
+    fn applies(&self, gateway: u8, server: &str, from: u64, to: u64) -> bool {
         let spans = &self.evidence.spans;
         let mut own = spans.iter().filter(|span| span.process == Process::Gateway(gateway));
         let mut harms = self.evidence.harms.iter().filter(|(name, _)| name == server);
@@ -180,8 +180,8 @@
             (seen.id.clone(), Sent { gateway: seen.gateway, at, answered })
         });
         let sent: BTreeMap<String, Sent> = sent.collect();
-        let unrested = visits::worst(visits::unrested(&self.visits, &sent, &done));
-        let undrained = visits::worst(visits::undrained(&self.visits, &sent, &done));
+        let unrested = visits::worst(visits::rest_violations(&self.visits, &sent, &done));
+        let undrained = visits::worst(visits::drain_violations(&self.visits, &sent, &done));
         let overruns =
             visits::overruns(&self.visits, &sent, &done).into_iter().map(Breach::Overrun);
         unrested.into_iter().chain(undrained).map(Breach::Disturbed).chain(overruns).collect()
@@ -307,5 +307,5 @@
         Kind::Alert => "/alert/soak",
         Kind::Draft(_) => "/draft/soak",
     };
-    (!arrival.sound(path)).then(|| Breach::Changed(seen.id.clone(), arrival.0.to_string()))
+    (!arrival.is_intact(path)).then(|| Breach::Changed(seen.id.clone(), arrival.0.to_string()))
 }
--- a/soak/src/inject.rs
+++ b/soak/src/inject.rs
@@ -155,7 +155,7 @@
             Fault::Break => {
                 self.broken = true;
                 self.system.group_control("/break").await;
-                self.system.tell_ranks().await;
+                self.system.put_rank_entries().await;
             }
             Fault::Shift(expert) => {
                 self.system.group_control(&format!("/popular?expert={expert}")).await;
@@ -235,7 +235,7 @@
                 self.system.link(&format!("store-gateway-{gateway}"), "none").await;
             }
             Fault::Store(_) => self.system.store_control("fault/none").await,
-            Fault::Lose => self.system.lose(AWAY).await,
+            Fault::Lose => self.system.restore_store(AWAY).await,
             Fault::Orders => self.system.group_control("/orders").await,
             Fault::Break if self.broken => self.mend().await,
             Fault::Drain(number) | Fault::Unlist(number) | Fault::Spoil(number) => {
@@ -299,7 +299,7 @@
         let reloaded: Vec<(Process, Instant)> =
             self.reloaded.iter().map(|(process, since)| (*process, *since)).collect();
         for (process, since) in reloaded {
-            let hung_up = self.process(process).ended_by() == Some(libc::SIGHUP);
+            let hung_up = self.process(process).exit_signal() == Some(libc::SIGHUP);
             if hung_up && !self.busy.contains_key(&process) {
                 self.busy.insert(process, (since, false));
                 self.restart(process);
@@ -337,7 +337,7 @@
     async fn mend(&mut self) {
         self.broken = false;
         self.system.group_control("/mend").await;
-        self.system.tell_ranks().await;
+        self.system.put_rank_entries().await;
     }
 
     async fn configure(&mut self) {
@@ -354,9 +354,9 @@
         let id = format!("plain-{number}");
         match self.starts.get(&id) {
             Some(born) if state == "ready" => {
-                self.system.list_run(&id, SMS, address, *born).await;
+                self.system.put_entry_of_run(&id, SMS, address, *born).await;
             }
-            _ => self.system.list(&id, SMS, address, state).await,
+            _ => self.system.put_entry(&id, SMS, address, state).await,
         }
     }
 
@@ -369,7 +369,7 @@
         // What its earlier run asked for is over before anybody hears of the new one.
         self.say_leaving(number, false).await;
         self.system.link(&id, "reset").await;
-        self.system.list_run(&id, SMS, address, born).await;
+        self.system.put_entry_of_run(&id, SMS, address, born).await;
         self.system.link(&server_name(false, number), "none").await;
     }
 
@@ -382,7 +382,7 @@
                 let id = end["server"].as_str().expect("an end names its server");
                 let born = self.starts.entry(id.to_owned()).or_insert(FIRST_START);
                 *born += 1;
-                self.system.restarted(id, *born).await;
+                self.system.wait_restarted(id, *born).await;
             }
         }
     }
@@ -403,7 +403,7 @@
     /// Waits for the end of a planned stop, and starts the process again.
     async fn await_stop(&mut self, process: Process) {
         let end = Instant::now() + STOP_TIME;
-        while !self.process(process).ended() {
+        while !self.process(process).has_exited() {
             if Instant::now() > end {
                 self.overdue.push(process);
                 self.process(process).kill().await;
@@ -434,7 +434,7 @@
 pub async fn tell_starts(system: &System) {
     for number in 0..system.plan.plain {
         let (id, address) = (server_name(false, number), system.plain_address(number));
-        system.list_run(&id, SMS, address, FIRST_START).await;
+        system.put_entry_of_run(&id, SMS, address, FIRST_START).await;
     }
 }
 
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -95,7 +95,7 @@
     let poisoned = poisoned(&system).await;
     let mut states = Vec::new();
     for group in 0..system.plan.groups {
-        states.push(system.state_of(group).await);
+        states.push(system.group_state_of(group).await);
     }
     let number =
         |name: &str| -> u64 { states.iter().map(|state| state[name].as_u64().unwrap_or(0)).sum() };
@@ -155,7 +155,8 @@
     let request = || Request::new("/alert/").key(&client::key(newest));
     let began = Instant::now();
     for gateway in 0..system.plan.gateways {
-        while !system.is_ready(gateway).await || system.ask(gateway, &request()).await.status == 401
+        while !system.is_ready(gateway).await
+            || system.request(gateway, &request()).await.status == 401
         {
             if began.elapsed() > BOUND {
                 return Some(Breach::Unforced(gateway, newest, began.elapsed()));
@@ -187,7 +188,7 @@
         }
         for path in ["/receipt/", "/alert/", "/draft/"] {
             let request = Request::new(path).key(&key).with("x-standin-events", "3");
-            let status = system.ask(gateway, &request).await.status;
+            let status = system.request(gateway, &request).await.status;
             if status != 200 {
                 return Some(format!("gateway {gateway} answers {status} to {path}"));
             }
@@ -209,7 +210,7 @@
 async fn poisoned(system: &System) -> Vec<Breach> {
     let mut breaches = Vec::new();
     for group in (0..system.plan.groups).map(Some).chain([None]) {
-        let (ends, arrivals) = (system.ends(group).await, system.reached(group).await);
+        let (ends, arrivals) = (system.ends(group).await, system.received(group).await);
         breaches.extend(check::poisoned(&ends, &arrivals));
     }
     breaches
--- a/tests/src/caller.rs
+++ b/tests/src/caller.rs
@@ -116,7 +116,7 @@
     }
 
     /// Sends a request and reads the whole answer.
-    pub async fn ask(
+    pub async fn request(
         &self,
         method: &str,
         path: &str,
@@ -150,19 +150,19 @@
 
     /// Asks for a chat.
     pub async fn chat(&self, model: &str, stream: bool, tokens: u64) -> Answer {
-        self.ask("POST", "/v1/chat/completions", &[], &prompt(model, stream, tokens)).await
+        self.request("POST", "/v1/chat/completions", &[], &prompt(model, stream, tokens)).await
     }
 
     /// Asks a plain service under an idempotency key.
     pub async fn deliver(&self, service: &str, key: &str, headers: &[(&str, &str)]) -> Answer {
         let mut all = vec![("idempotency-key", key)];
         all.extend_from_slice(headers);
-        self.ask("POST", &format!("/services/{service}/send"), &all, "{}").await
+        self.request("POST", &format!("/services/{service}/send"), &all, "{}").await
     }
 
     /// Reads a path as JSON.
     pub async fn read(&self, path: &str) -> serde_json::Value {
-        let answer = self.ask("GET", path, &[], "").await;
+        let answer = self.request("GET", path, &[], "").await;
         serde_json::from_str(&answer.body).unwrap_or_default()
     }
 }
--- a/tests/src/client.rs
+++ b/tests/src/client.rs
@@ -13,7 +13,7 @@
 const WINDOW: u32 = 4_096;
 
 /// Connects as a client behind a small window.
-pub async fn behind_small_window(address: SocketAddr) -> tokio::net::TcpStream {
+pub async fn connect_with_small_window(address: SocketAddr) -> tokio::net::TcpStream {
     let socket = tokio::net::TcpSocket::new_v4().expect("a socket can be made");
     socket2::SockRef::from(&socket).set_tcp_mss(SEGMENT).expect("the segments can be small");
     socket.set_recv_buffer_size(WINDOW).expect("the buffer can be small");
--- a/tests/src/cluster.rs
+++ b/tests/src/cluster.rs
@@ -6,7 +6,7 @@
 use base64::Engine as _;
 use sha2::Digest as _;
 
-use crate::{caller, process, until, until_told};
+use crate::{caller, process, until, until_ok};
 
 /// Token of every team.
 pub const TOKEN: &str = "token-of-the-clinic";
@@ -63,11 +63,11 @@
     /// The process.
     pub process: process::Process,
     /// Its own address for peers.
-    pub peer: SocketAddr,
+    pub peer_address: SocketAddr,
     /// Its address in the host list, at the proxy.
-    pub listed: SocketAddr,
+    pub proxy_address: SocketAddr,
     /// Address for callers, of an entry host.
-    pub http: Option<SocketAddr>,
+    pub http_address: Option<SocketAddr>,
     /// Backend, rank and address of the backend server, of an agent.
     pub server: Option<Server>,
     settings: String,
@@ -131,17 +131,17 @@
         cluster.tool("bruno", &["bundle", "approve", &digest]).await;
         let rolled = cluster.tool("ana", &["bundle", "roll-forward", &digest]).await;
         assert!(rolled.success, "{rolled:?}");
-        cluster.ready().await;
+        cluster.wait_ready().await;
         cluster
     }
 
     async fn bare(plan: Plan) -> Cluster {
         let mut platform = process::Process::start("standin-platform", &[]);
-        let platform_address = platform.address().await;
+        let platform_address = platform.read_address().await;
         let mut proxy = process::Process::start("fault-proxy", &[]);
         for (index, zone) in plan.zones.iter().enumerate() {
             let source = source_address(index);
-            assert_eq!(proxy.tell(&format!("source {zone} {source}")).await, "set");
+            assert_eq!(proxy.send_command(&format!("source {zone} {source}")).await, "set");
         }
         let folder = process::Folder::new();
         let mut operators = String::new();
@@ -185,7 +185,7 @@
             for index in 0..plan.services {
                 let name = format!("sms-{zone}-{index}");
                 let mut server = process::Process::start("standin-service", &[]);
-                let address = server.address().await;
+                let address = server.read_address().await;
                 self.servers.insert(name.clone(), server);
                 let server = Server { backend: SERVICE.to_owned(), rank: None, address };
                 self.start_agent(zone, &format!("{name}-host"), server).await;
@@ -210,7 +210,7 @@
             arguments.extend(["--followers".to_owned(), followers.join(",")]);
         }
         let mut server = process::Process::start("standin-engine", &arguments);
-        let address = server.address().await;
+        let address = server.read_address().await;
         self.servers.insert(name.clone(), server);
         let server = Server { backend: group(zone), rank: Some(rank), address };
         self.start_agent(zone, &format!("{name}-host"), server).await;
@@ -219,7 +219,7 @@
     fn common(&self, role: &str, zone: &str, host: &str, peer: &str) -> String {
         let index = self.plan.zones.iter().position(|known| *known == zone).unwrap_or(0);
         let seeds: Vec<String> =
-            self.members.values().map(|member| format!("\"{}\"", member.listed)).collect();
+            self.members.values().map(|member| format!("\"{}\"", member.proxy_address)).collect();
         format!(
             "[process]\nrole = \"{role}\"\nhost = \"{host}\"\nzone = \"{zone}\"\n\
              deployment = \"vale\"\npeer_address = \"{peer}\"\nkey = \"{}\"\n\
@@ -264,9 +264,9 @@
     ) {
         let file = self.folder.write(&format!("{host}.toml"), &settings);
         let mut process = process::Process::start("loftcoved", &strings(&["run", &file]));
-        let peer = process.address().await;
+        let peer = process.read_address().await;
         let entry = server.is_none();
-        let http = if entry { Some(process.address().await) } else { None };
+        let http = if entry { Some(process.read_address().await) } else { None };
         let listed = target(&mut self.proxy, host, zone, peer).await;
         let mut settings = settings
             .replace("peer_address = \"127.0.0.1:0\"", &format!("peer_address = \"{peer}\""));
@@ -278,9 +278,9 @@
             host: host.to_owned(),
             zone: zone.to_owned(),
             process,
-            peer,
-            listed,
-            http,
+            peer_address: peer,
+            proxy_address: listed,
+            http_address: http,
             server,
             settings,
             leaving: false,
@@ -293,9 +293,9 @@
         let member = self.members.get_mut(host).expect("the member exists");
         let file = self.folder.write(&format!("{host}.toml"), &member.settings);
         member.process = process::Process::start("loftcoved", &strings(&["run", &file]));
-        member.process.address().await;
-        if member.http.is_some() {
-            member.process.address().await;
+        member.process.read_address().await;
+        if member.http_address.is_some() {
+            member.process.read_address().await;
         }
     }
 
@@ -304,7 +304,7 @@
         let hosts: Vec<serde_json::Value> = self.members.values().map(listing).collect();
         let control = caller::Caller::new(self.platform_address, "");
         let body = serde_json::Value::Array(hosts).to_string();
-        let answer = control.ask("PUT", "/standin/hosts", &[], &body).await;
+        let answer = control.request("PUT", "/standin/hosts", &[], &body).await;
         assert_eq!(answer.status, 200);
     }
 
@@ -317,19 +317,19 @@
     /// Sets a fault of the platform's stand-in.
     pub async fn platform_fault(&self, fault: &str) {
         let control = caller::Caller::new(self.platform_address, "");
-        let answer = control.ask("PUT", &format!("/standin/fault/{fault}"), &[], "").await;
+        let answer = control.request("PUT", &format!("/standin/fault/{fault}"), &[], "").await;
         assert_eq!(answer.status, 200);
     }
 
     /// Calls that the platform has counted.
     pub async fn platform_calls(&self) -> u64 {
         let control = caller::Caller::new(self.platform_address, "");
-        control.ask("GET", "/standin/calls", &[], "").await.body.parse().unwrap_or(0)
+        control.request("GET", "/standin/calls", &[], "").await.body.parse().unwrap_or(0)
     }
 
     /// Sets the fault of connections from a zone to a host or zone.
     pub async fn link(&mut self, from: &str, to: &str, fault: &str) {
-        assert_eq!(self.proxy.tell(&format!("link {from} {to} {fault}")).await, "set");
+        assert_eq!(self.proxy.send_command(&format!("link {from} {to} {fault}")).await, "set");
     }
 
     /// Cuts a zone off from the other zones, both ways, or joins it again.
@@ -387,19 +387,19 @@
 
     /// A caller at an entry host.
     pub fn caller(&self, host: &str) -> caller::Caller {
-        let http = self.members[host].http.expect("the member is an entry host");
+        let http = self.members[host].http_address.expect("the member is an entry host");
         caller::Caller::new(http, TOKEN)
     }
 
     /// A caller past the system at a backend server.
-    pub fn direct(&self, host: &str) -> caller::Caller {
+    pub fn server_caller(&self, host: &str) -> caller::Caller {
         let server = self.members[host].server.as_ref().expect("the member is an agent");
         caller::Caller::new(server.address, "")
     }
 
     /// Entry hosts.
     pub fn entries(&self) -> Vec<String> {
-        let entries = self.members.values().filter(|member| member.http.is_some());
+        let entries = self.members.values().filter(|member| member.http_address.is_some());
         entries.map(|member| member.host.clone()).collect()
     }
 
@@ -415,7 +415,7 @@
     pub async fn runs(&self, key: &str) -> u64 {
         let mut sum = 0;
         for agent in self.agents(SERVICE) {
-            let runs = self.direct(&agent).read("/standin/runs").await;
+            let runs = self.server_caller(&agent).read("/standin/runs").await;
             sum += runs[key].as_u64().unwrap_or(0);
         }
         sum
@@ -432,8 +432,8 @@
 
     /// Waits until every process serves, every entry host may use every
     /// server, and the homes of keys can be asked.
-    pub async fn ready(&self) {
-        until_told("all processes serve", || async {
+    pub async fn wait_ready(&self) {
+        until_ok("all processes serve", || async {
             let status = self.status().await;
             let idle = status.values().filter(|one| !is_serving(one));
             let lacking: Vec<String> = idle.map(serde_json::Value::to_string).collect();
@@ -442,12 +442,12 @@
         })
         .await;
         for host in self.entries() {
-            self.keys_ready(&host).await;
+            self.wait_keys_ready(&host).await;
         }
     }
 
     /// Waits until an entry host answers calls under fresh keys.
-    pub async fn keys_ready(&self, host: &str) {
+    pub async fn wait_keys_ready(&self, host: &str) {
         if self.plan.services == 0 {
             return;
         }
@@ -485,7 +485,7 @@
     zone: &str,
     address: SocketAddr,
 ) -> SocketAddr {
-    let answer = proxy.tell(&format!("target {label} {zone} {address}")).await;
+    let answer = proxy.send_command(&format!("target {label} {zone} {address}")).await;
     let last = answer.split_whitespace().last().unwrap_or_default();
     last.parse().unwrap_or_else(|_| panic!("the proxy said `{answer}`"))
 }
@@ -499,7 +499,7 @@
         "id": member.host,
         "zone": member.zone,
         "role": role,
-        "address": member.listed,
+        "address": member.proxy_address,
         "backend": backend,
         "rank": rank,
         "leaving": member.leaving,
--- a/tests/src/failure.rs
+++ b/tests/src/failure.rs
@@ -12,7 +12,7 @@
 /// # Errors
 ///
 /// What the system said.
-pub fn keep(logs: &[(String, Vec<String>)], files: &[(&str, String)]) -> std::io::Result<PathBuf> {
+pub fn save(logs: &[(String, Vec<String>)], files: &[(&str, String)]) -> std::io::Result<PathBuf> {
     let own = std::env::current_exe()?;
     let built =
         own.ancestors().find(|folder| folder.ends_with("debug") || folder.ends_with("release"));
--- a/tests/src/lib.rs
+++ b/tests/src/lib.rs
@@ -21,7 +21,7 @@
 
 /// Longest wait for any condition: far above what it takes, so that a slow
 /// machine does not change the verdict.
-pub const PATIENCE: Duration = Duration::from_secs(90);
+pub const MAX_WAIT: Duration = Duration::from_secs(90);
 
 /// Waits until the condition holds.
 ///
@@ -33,7 +33,7 @@
         let condition = condition();
         async { if condition.await { Ok(()) } else { Err(String::new()) } }
     };
-    until_told(what, &mut holds).await;
+    until_ok(what, &mut holds).await;
 }
 
 /// Waits until nothing is lacking any more.
@@ -41,7 +41,7 @@
 /// # Panics
 ///
 /// If something still is in the end; says what was waited for and what is lacking.
-pub async fn until_told<F: Future<Output = Result<(), String>>>(
+pub async fn until_ok<F: Future<Output = Result<(), String>>>(
     what: &str,
     mut check: impl FnMut() -> F,
 ) {
@@ -52,6 +52,6 @@
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     };
-    let ended = tokio::time::timeout(PATIENCE, held).await;
+    let ended = tokio::time::timeout(MAX_WAIT, held).await;
     assert!(ended.is_ok(), "waited in vain until {what}; lacking: {lacking}");
 }
--- a/tests/src/process.rs
+++ b/tests/src/process.rs
@@ -83,21 +83,21 @@
     }
 
     /// Reads the next line, `listening [WHAT] ADDRESS`.
-    pub async fn address(&mut self) -> SocketAddr {
-        let line = self.line().await;
+    pub async fn read_address(&mut self) -> SocketAddr {
+        let line = self.read_line().await;
         let last = line.split_whitespace().last().unwrap_or_default();
         last.parse().unwrap_or_else(|_| panic!("no address in `{line}`: {:?}", self.log()))
     }
 
     /// Reads the next line.
-    pub async fn line(&mut self) -> String {
+    pub async fn read_line(&mut self) -> String {
         let stdout = self.stdout.as_mut().expect("its output is read line by line");
         let line = stdout.next_line().await.expect("standard output can be read");
         line.unwrap_or_else(|| panic!("the program ended: {:?}", self.log()))
     }
 
     /// Keeps what it writes to its standard output from now on with its log.
-    pub fn keep_output(&mut self) {
+    pub fn log_output(&mut self) {
         let Some(mut lines) = self.stdout.take() else { return };
         let kept = self.log.clone();
         tokio::spawn(async move {
@@ -116,10 +116,10 @@
     }
 
     /// Sends a line and reads the answer.
-    pub async fn tell(&mut self, line: &str) -> String {
+    pub async fn send_command(&mut self, line: &str) -> String {
         let text = format!("{line}\n");
         self.stdin.write_all(text.as_bytes()).await.expect("the program reads its input");
-        self.line().await
+        self.read_line().await
     }
 
     /// What it has logged.
@@ -128,7 +128,7 @@
     }
 
     /// A handle to its log.
-    pub fn kept_log(&self) -> Log {
+    pub fn log_handle(&self) -> Log {
         self.log.clone()
     }
 
@@ -161,12 +161,12 @@
     }
 
     /// Whether it has ended.
-    pub fn ended(&mut self) -> bool {
+    pub fn has_exited(&mut self) -> bool {
         self.child.try_wait().expect("the program can be waited for").is_some()
     }
 
     /// Number of the signal that ended it, if one did.
-    pub fn ended_by(&mut self) -> Option<i32> {
+    pub fn exit_signal(&mut self) -> Option<i32> {
         let status = self.child.try_wait().expect("the program can be waited for")?;
         std::os::unix::process::ExitStatusExt::signal(&status)
     }
--- a/tests/src/request.rs
+++ b/tests/src/request.rs
@@ -38,7 +38,7 @@
     }
 
     /// A request that takes some 50 ms, of the lock-step group or of a plain service.
-    pub fn brief(ranks: bool) -> Request {
+    pub fn short(ranks: bool) -> Request {
         match ranks {
             true => Request::new("/draft/").with("x-standin-events", "5"),
             false => Request::new("/alert/").with("x-standin-delay-ms", "50"),
@@ -126,7 +126,7 @@
 
     /// Whether it came as it was sent to that path, with its team, without the
     /// key, and to the backend server that it was meant for.
-    pub fn sound(&self, path: &str) -> bool {
+    pub fn is_intact(&self, path: &str) -> bool {
         let headers = &self.0["headers"];
         self.0["path"] == path
             && self.0["body"] == "body"
--- a/tests/src/system.rs
+++ b/tests/src/system.rs
@@ -73,7 +73,7 @@
     /// Sidecars.
     pub sidecars: Vec<process::Process>,
     /// Names and logs of processes that were replaced by a later start.
-    pub earlier: Vec<(String, process::Log)>,
+    pub replaced: Vec<(String, process::Log)>,
     proxy: Option<process::Process>,
     folder: process::Folder,
     net: Net,
@@ -116,7 +116,7 @@
         if !std::thread::panicking() {
             return;
         }
-        match failure::keep(&self.logs(), &[]) {
+        match failure::save(&self.logs(), &[]) {
             Ok(folder) => eprintln!("logs of the failed run are in {}", folder.display()),
             Err(error) => eprintln!("logs of the failed run were not kept: {error}"),
         }
@@ -132,7 +132,7 @@
         let sidecars = self.sidecars.iter().enumerate();
         let sidecars =
             sidecars.map(|(number, process)| (format!("sidecar-{number}"), process.log()));
-        let earlier = self.earlier.iter().enumerate();
+        let earlier = self.replaced.iter().enumerate();
         let earlier = earlier.map(|(n, (name, log))| (format!("{name}-replaced-{n}"), log.lines()));
         gateways.chain(sidecars).chain(earlier).collect()
     }
@@ -140,7 +140,7 @@
     /// Starts everything, with a first configuration.
     pub async fn start(plan: Plan) -> System {
         let mut store = process::Process::start("standin-platform", &[]);
-        let store_address = store.address().await;
+        let store_address = store.read_address().await;
         let net = Net::reserve();
         assert!(plan.ranks <= FIRST_PROXIED - FIRST_RANK, "addresses for so many ranks");
         let lockstep = servers(net.bytes, FIRST_RANK, plan.ranks, "rank");
@@ -154,7 +154,7 @@
             plain: servers_of(&plain, None, plan.proxied).await,
             gateways: Vec::new(),
             sidecars: Vec::new(),
-            earlier: Vec::new(),
+            replaced: Vec::new(),
             proxy,
             folder: process::Folder::new(),
             net,
@@ -167,7 +167,7 @@
         system.configure(1, &[KEY]).await;
         for (service, list) in [(MODEL, &lockstep), (SMS, &plain)] {
             for (id, address) in list {
-                system.list(id, service, *address, "ready").await;
+                system.put_entry(id, service, *address, "ready").await;
             }
         }
         for index in 0..plan.gateways {
@@ -182,7 +182,7 @@
             }
         }
         for index in 0..plan.gateways {
-            system.ready(index).await;
+            system.wait_ready(index).await;
         }
         system
     }
@@ -192,7 +192,7 @@
         let Some(proxy) = &mut self.proxy else { return };
         for (id, address) in servers {
             let real = real_address(*address, true);
-            proxy.tell(&format!("target {id} norte {real} {address}")).await;
+            proxy.send_command(&format!("target {id} norte {real} {address}")).await;
         }
     }
 
@@ -202,7 +202,7 @@
         let (listen, real) = (self.rank_ip(rank), self.sidecar_ip(rank));
         let Some(proxy) = &mut self.proxy else { return };
         let line = format!("target sidecar-{rank} norte {real}:{PEER_PORT} {listen}:{PEER_PORT}");
-        proxy.tell(&line).await;
+        proxy.send_command(&line).await;
     }
 
     /// Address of a rank's host.
@@ -221,7 +221,7 @@
     async fn interpose_store(&mut self, host: &str) {
         let Some(proxy) = &mut self.proxy else { return };
         let line = format!("target store-{host} norte {}", self.store_address);
-        let answer = proxy.tell(&line).await;
+        let answer = proxy.send_command(&line).await;
         let address = answer.rsplit(' ').next().and_then(|text| text.parse().ok());
         self.stores.insert(host.to_owned(), address.expect("the proxy tells its address"));
     }
@@ -230,7 +230,7 @@
     /// `loftcove_standins::proxy`.
     pub async fn link(&mut self, target: &str, fault: &str) {
         let proxy = self.proxy.as_mut().expect("the system has a proxy");
-        assert_eq!(proxy.tell(&format!("link * {target} {fault}")).await, "set");
+        assert_eq!(proxy.send_command(&format!("link * {target} {fault}")).await, "set");
     }
 
     /// Address that clients connect to at a gateway.
@@ -240,7 +240,7 @@
 
     /// Starts one more gateway beside a system, without peers, with lines for its
     /// section `[serving]`; its number is 5.
-    pub async fn start_alone(system: &System, serving: &str) -> process::Process {
+    pub async fn start_without_peers(system: &System, serving: &str) -> process::Process {
         let ip = system.gateway_ip(5);
         let text = format!(
             "[host]\nname = \"lonely\"\nzone = \"norte\"\nstore_address = \"{}\"\n\
@@ -252,7 +252,7 @@
         );
         let file = system.folder.write("lonely.toml", &text);
         let mut gateway = process::Process::start("loftcoved", &["gateway".to_owned(), file]);
-        gateway.keep_output();
+        gateway.log_output();
         until("it listens", || async {
             tokio::net::TcpStream::connect((ip, CLIENT_PORT)).await.is_ok()
         })
@@ -271,12 +271,12 @@
     }
 
     /// Writes the entry of a backend server.
-    pub async fn list(&self, id: &str, service: &str, address: SocketAddr, state: &str) {
+    pub async fn put_entry(&self, id: &str, service: &str, address: SocketAddr, state: &str) {
         self.put(&format!("servers/{id}"), &entry(service, address, state)).await;
     }
 
     /// Writes the entry of a backend server that started then, Unix milliseconds.
-    pub async fn list_run(&self, id: &str, service: &str, address: SocketAddr, born: u64) {
+    pub async fn put_entry_of_run(&self, id: &str, service: &str, address: SocketAddr, born: u64) {
         let mut entry = entry(service, address, "ready");
         entry["born"] = json!(born);
         self.put(&format!("servers/{id}"), &entry).await;
@@ -285,7 +285,7 @@
     /// Writes the entries of all ranks with what each now tells of its group, as
     /// the platform's backend servers do. Until this is called, their entries tell
     /// nothing of it.
-    pub async fn tell_ranks(&self) {
+    pub async fn put_rank_entries(&self) {
         for rank in 0..self.plan.ranks {
             let address = SocketAddr::from((self.rank_ip(rank), SERVER_PORT));
             let engine = caller::Caller::new(real_address(address, self.proxy.is_some()), "");
@@ -305,7 +305,7 @@
     /// Writes a key as the platform does.
     pub async fn put(&self, key: &str, value: &Value) {
         let path = format!("/standin/put?key={key}");
-        let answer = self.control.ask("PUT", &path, &[], &value.to_string()).await;
+        let answer = self.control.request("PUT", &path, &[], &value.to_string()).await;
         assert_eq!(answer.status, 200);
         self.wrote(key, Some(value.clone()));
     }
@@ -318,7 +318,7 @@
     /// Has the store come back from the copy that was taken last, after it was away for
     /// that time; operator and backend servers write again what they wrote, half a second
     /// later.
-    pub async fn lose(&self, away: Duration) {
+    pub async fn restore_store(&self, away: Duration) {
         self.store_control("fault/down").await;
         tokio::time::sleep(away).await;
         self.store_control("restore").await;
@@ -336,13 +336,13 @@
     /// Removes a key as the platform does.
     pub async fn remove(&self, key: &str) {
         let path = format!("/standin/put?key={key}");
-        assert_eq!(self.control.ask("DELETE", &path, &[], "").await.status, 200);
+        assert_eq!(self.control.request("DELETE", &path, &[], "").await.status, 200);
         self.wrote(key, None);
     }
 
     /// Tells the store's stand-in something.
     pub async fn store_control(&self, what: &str) {
-        let answer = self.control.ask("PUT", &format!("/standin/{what}"), &[], "").await;
+        let answer = self.control.request("PUT", &format!("/standin/{what}"), &[], "").await;
         assert_eq!(answer.status, 200);
     }
 
@@ -409,11 +409,11 @@
         let file = self.folder.write(&format!("{name}.toml"), &text);
         let arguments = ["gateway".to_owned(), file];
         let mut gateway = process::Process::start("loftcoved", &arguments);
-        gateway.keep_output();
+        gateway.log_output();
         let index = usize::from(index);
         if index < self.gateways.len() {
             let replaced = std::mem::replace(&mut self.gateways[index], gateway);
-            self.earlier.push((name, replaced.kept_log()));
+            self.replaced.push((name, replaced.log_handle()));
         } else {
             self.gateways.push(gateway);
         }
@@ -431,11 +431,11 @@
         let file = self.folder.write(&format!("{name}.toml"), &text);
         let arguments = ["sidecar".to_owned(), file];
         let mut sidecar = process::Process::start("loftcoved", &arguments);
-        sidecar.keep_output();
+        sidecar.log_output();
         let rank = usize::from(rank);
         if rank < self.sidecars.len() {
             let replaced = std::mem::replace(&mut self.sidecars[rank], sidecar);
-            self.earlier.push((name, replaced.kept_log()));
+            self.replaced.push((name, replaced.log_handle()));
         } else {
             self.sidecars.push(sidecar);
         }
@@ -444,15 +444,15 @@
     /// Whether a gateway calls itself ready.
     pub async fn is_ready(&self, index: u8) -> bool {
         let address = (self.gateway_ip(index), READY_PORT).into();
-        caller::Caller::new(address, "").ask("GET", "/v1/readyz", &[], "").await.status == 200
+        caller::Caller::new(address, "").request("GET", "/v1/readyz", &[], "").await.status == 200
     }
 
     /// Waits until a gateway is ready and knows all backend servers.
-    pub async fn ready(&self, index: u8) {
+    pub async fn wait_ready(&self, index: u8) {
         let what = format!("gateway {index} serves");
         until(&what, || async {
             let request = Request::new("/alert/ready");
-            self.is_ready(index).await && self.ask(index, &request).await.status == 200
+            self.is_ready(index).await && self.request(index, &request).await.status == 200
         })
         .await;
     }
@@ -460,16 +460,16 @@
     /// Metrics of a gateway.
     pub async fn metrics(&self, index: u8) -> String {
         let address = (self.gateway_ip(index), METRICS_PORT).into();
-        caller::Caller::new(address, "").ask("GET", "/metrics", &[], "").await.body
+        caller::Caller::new(address, "").request("GET", "/metrics", &[], "").await.body
     }
 
     /// Sends a request through a gateway and reads the whole answer.
-    pub async fn ask(&self, gateway: u8, request: &Request) -> caller::Answer {
+    pub async fn request(&self, gateway: u8, request: &Request) -> caller::Answer {
         let address = (self.gateway_ip(gateway), CLIENT_PORT).into();
         let headers: Vec<(&str, &str)> =
             request.headers.iter().map(|(name, value)| (&**name, &**value)).collect();
         caller::Caller::new(address, "")
-            .ask(request.method, &request.path, &headers, &request.body)
+            .request(request.method, &request.path, &headers, &request.body)
             .await
     }
 
@@ -481,17 +481,17 @@
 
     /// State of the first lock-step group.
     pub async fn group_state(&self) -> Value {
-        self.state_of(0).await
+        self.group_state_of(0).await
     }
 
     /// State of a lock-step group.
-    pub async fn state_of(&self, group: u8) -> Value {
+    pub async fn group_state_of(&self, group: u8) -> Value {
         self.group.1.read(&format!("/state?group={group}")).await
     }
 
     /// Tells the lock-step group something.
     pub async fn group_control(&self, what: &str) {
-        assert_eq!(self.group.1.ask("PUT", what, &[], "").await.status, 200);
+        assert_eq!(self.group.1.request("PUT", what, &[], "").await.status, 200);
     }
 
     /// Ends of backend servers under requests, oldest first: those of a lock-step
@@ -502,7 +502,7 @@
 
     /// Requests that reached the backend servers of a lock-step group, or the
     /// plain ones.
-    pub async fn reached(&self, group: Option<u8>) -> Vec<Value> {
+    pub async fn received(&self, group: Option<u8>) -> Vec<Value> {
         self.rows(group, "/requests").await
     }
 
@@ -521,7 +521,7 @@
     pub async fn servers_control(&self, group: Option<u8>, what: &str) {
         let control = if group.is_some() { &self.group.1 } else { &self.plain.1 };
         let path = format!("{what}&group={}", group.unwrap_or(0));
-        assert_eq!(control.ask("PUT", &path, &[], "").await.status, 200);
+        assert_eq!(control.request("PUT", &path, &[], "").await.status, 200);
     }
 
     async fn rows(&self, group: Option<u8>, what: &str) -> Vec<Value> {
@@ -532,7 +532,7 @@
 
     /// Waits until a backend server that ended is back, and writes its entry
     /// with that start, as the platform's backend servers do.
-    pub async fn restarted(&self, id: &str, born: u64) {
+    pub async fn wait_restarted(&self, id: &str, born: u64) {
         let number = id.rsplit('-').next().and_then(|text| text.parse().ok());
         let number: u8 = number.expect("an id ends with a number");
         let (service, address) = match id.starts_with("rank") {
@@ -547,24 +547,26 @@
             ends.iter().all(|end| end["server"] != id || end["back"] == true)
         })
         .await;
-        self.list_run(id, service, address, born).await;
+        self.put_entry_of_run(id, service, address, born).await;
     }
 
     /// Has the servers of a lock-step group, or the plain ones, that ended since
     /// the last call start again, and waits until all gateways serve; `seen`
     /// counts the ends of before.
-    pub async fn mend(&self, group: Option<u8>, seen: &mut usize) {
+    pub async fn restart_ended(&self, group: Option<u8>, seen: &mut usize) {
         let ends = self.ends(group).await;
         for end in &ends[*seen..] {
             *seen += 1;
             let server = end["server"].as_str().expect("an end names its server");
-            self.restarted(server, *seen as u64).await;
+            self.wait_restarted(server, *seen as u64).await;
         }
         let path = if group.is_some() { "/draft/" } else { "/alert/" };
         let sound = Request::new(path).with("x-standin-events", "2");
         for gateway in 0..self.plan.gateways {
-            until("the gateway serves", || async { self.ask(gateway, &sound).await.status == 200 })
-                .await;
+            until("the gateway serves", || async {
+                self.request(gateway, &sound).await.status == 200
+            })
+            .await;
         }
     }
 
@@ -579,7 +581,7 @@
     pub async fn all_arrivals(&self) -> Vec<Value> {
         let mut all = Vec::new();
         for group in (0..self.plan.groups).map(Some).chain([None]) {
-            all.extend(self.reached(group).await);
+            all.extend(self.received(group).await);
         }
         all
     }
@@ -611,7 +613,7 @@
         arguments.extend(["--lockstep".to_owned(), "--groups".to_owned(), groups.to_string()]);
     }
     let mut group = process::Process::start("standin-group", &arguments);
-    let control = group.address().await;
+    let control = group.read_address().await;
     (group, caller::Caller::new(control, ""))
 }
 
--- a/tests/src/visits.rs
+++ b/tests/src/visits.rs
@@ -10,7 +10,7 @@
 /// Time after an answer that asks for rest from which on requests count.
 const SETTLE_MS: u64 = 500;
 /// Requests that may reach a server from one gateway in the rest of that time.
-pub const ALLOWED: usize = 2;
+pub const MAX_REQUESTS_DURING_REST: usize = 2;
 /// Time after a gateway passed on that a server leaves from which on no request
 /// that a client sends may reach it.
 pub const DRAIN_MS: u64 = 2_000;
@@ -95,26 +95,26 @@
 }
 
 /// What excuses a gateway: something was done to it, or to its way to a server.
-pub trait Excuse {
+pub trait Exemption {
     /// Whether that happened between the two times.
-    fn holds(&self, gateway: u8, server: &str, from: u64, to: u64) -> bool;
+    fn applies(&self, gateway: u8, server: &str, from: u64, to: u64) -> bool;
 }
 
 /// Nothing was done to anybody.
-pub struct Undisturbed;
+pub struct NoExemption;
 
-impl Excuse for Undisturbed {
-    fn holds(&self, _gateway: u8, _server: &str, _from: u64, _to: u64) -> bool {
+impl Exemption for NoExemption {
+    fn applies(&self, _gateway: u8, _server: &str, _from: u64, _to: u64) -> bool {
         false
     }
 }
 
-/// Servers that asked a gateway for rest and got more than [`ALLOWED`] requests
+/// Servers that asked a gateway for rest and got more than [`MAX_REQUESTS_DURING_REST`] requests
 /// from it in that time.
-pub fn unrested(
+pub fn rest_violations(
     visits: &[Visit],
     sent: &BTreeMap<String, Sent>,
-    excuse: &impl Excuse,
+    excuse: &impl Exemption,
 ) -> Vec<Excess> {
     let mut excesses = Vec::new();
     for ((gateway, server, _), visits) in by_pair(visits, sent) {
@@ -122,10 +122,10 @@
             let Some(rest) = asked.rest() else { continue };
             let span = (asked.at + SETTLE_MS, asked.at + rest);
             let came = visits.iter().filter(|visit| span.0 <= visit.at && visit.at <= span.1);
-            let came = came.filter(|visit| !excuse.holds(gateway, server, asked.at, visit.at));
+            let came = came.filter(|visit| !excuse.applies(gateway, server, asked.at, visit.at));
             let came: Vec<&&Visit> = came.collect();
             let requests = came.len();
-            if requests > ALLOWED {
+            if requests > MAX_REQUESTS_DURING_REST {
                 let server = server.to_owned();
                 let ids = (asked.request.clone(), came[0].request.clone());
                 excesses.push(Excess { server, gateway, rest: Some(rest), requests, span, ids });
@@ -137,10 +137,10 @@
 
 /// Servers that had said that they leave, and got requests that clients sent
 /// [`DRAIN_MS`] after their gateway had passed that on.
-pub fn undrained(
+pub fn drain_violations(
     visits: &[Visit],
     sent: &BTreeMap<String, Sent>,
-    excuse: &impl Excuse,
+    excuse: &impl Exemption,
 ) -> Vec<Excess> {
     let mut excesses = Vec::new();
     for ((gateway, server, _), visits) in by_pair(visits, sent) {
@@ -150,7 +150,7 @@
         let span = (told + DRAIN_MS, u64::MAX);
         let sent = visits.iter().filter_map(|visit| Some((sent.get(&visit.request)?, visit)));
         let late = sent.filter(|(sent, _)| sent.at > span.0);
-        let late = late.filter(|(sent, _)| !excuse.holds(gateway, server, told, sent.at));
+        let late = late.filter(|(sent, _)| !excuse.applies(gateway, server, told, sent.at));
         let late: Vec<&Visit> = late.map(|(_, visit)| *visit).collect();
         let requests = late.len();
         if requests > 0 {
@@ -176,7 +176,7 @@
 }
 
 /// Time from the first answer that names a rate limit on in which requests do not count.
-pub const CONTACT_MS: u64 = 3_000;
+pub const LIMIT_SETTLE_MS: u64 = 3_000;
 /// Span over which requests at a server that names a limit are counted.
 pub const LIMIT_SPAN_MS: u64 = 4_000;
 
@@ -203,7 +203,7 @@
 pub fn overruns(
     visits: &[Visit],
     sent: &BTreeMap<String, Sent>,
-    excuse: &impl Excuse,
+    excuse: &impl Exemption,
 ) -> Vec<Overrun> {
     let mut runs: BTreeMap<(&str, u64), Vec<&Visit>> = BTreeMap::new();
     for visit in visits {
@@ -225,7 +225,7 @@
 fn overrun(
     visits: &[&Visit],
     sent: &BTreeMap<String, Sent>,
-    excuse: &impl Excuse,
+    excuse: &impl Exemption,
 ) -> Option<Overrun> {
     let first = visits.iter().find(|visit| visit.told)?;
     let mut told: BTreeMap<u8, u64> = BTreeMap::new();
@@ -237,8 +237,8 @@
         let gateway = sent.get(&visit.request).map(|sent| sent.gateway);
         gateway.is_some_and(|gateway| {
             let told = told.get(&gateway).copied().unwrap_or(u64::MAX);
-            let since = told.saturating_add(SETTLE_MS).max(first.at + CONTACT_MS);
-            visit.at >= since && !excuse.holds(gateway, &visit.server, told, visit.at)
+            let since = told.saturating_add(SETTLE_MS).max(first.at + LIMIT_SETTLE_MS);
+            visit.at >= since && !excuse.applies(gateway, &visit.server, told, visit.at)
         })
     };
     let counted: Vec<&Visit> = visits.iter().filter(counts).copied().collect();
--- a/tests/tests/bundles.rs
+++ b/tests/tests/bundles.rs
@@ -68,7 +68,7 @@
                 "puts": [{ "private_key": key, "value": value, "lease": 0 }],
                 "remove": [],
             });
-            let answer = control.ask("POST", "/v1/kv-txn", &[], &write.to_string()).await;
+            let answer = control.request("POST", "/v1/kv-txn", &[], &write.to_string()).await;
             assert_eq!(answer.status, 200);
         }
     };
--- a/tests/tests/connections.rs
+++ b/tests/tests/connections.rs
@@ -41,6 +41,6 @@
     let system = System::start(PLAN).await;
     let request = Request::new("/draft/").with("x-standin-events", "1");
     let request = request.with("x-standin-break", "1");
-    system.ask(0, &request).await;
+    system.request(0, &request).await;
     told(&system, &request, "answering", "the answer broke off").await;
 }
--- a/tests/tests/epochs.rs
+++ b/tests/tests/epochs.rs
@@ -11,7 +11,7 @@
 async fn steps(cluster: &cluster::Cluster, group: &str) -> Vec<BTreeMap<u64, u64>> {
     let mut all = Vec::new();
     for agent in cluster.agents(group) {
-        let steps = cluster.direct(&agent).read("/standin/steps").await;
+        let steps = cluster.server_caller(&agent).read("/standin/steps").await;
         let steps: Vec<(u64, u64)> = serde_json::from_value(steps).unwrap_or_default();
         all.push(steps.into_iter().collect());
     }
@@ -47,7 +47,7 @@
         // Now and then other experts become popular, at all ranks alike.
         if polls.fetch_add(1, Ordering::Relaxed).is_multiple_of(16) {
             for agent in cluster.agents(&cluster::group("sala-braga")) {
-                cluster.direct(&agent).read("/standin/drift").await;
+                cluster.server_caller(&agent).read("/standin/drift").await;
             }
         }
         epoch(cluster, agent).await >= before + by
@@ -106,5 +106,5 @@
 }
 
 async fn epoch_of_engine(cluster: &cluster::Cluster, agent: &str) -> u64 {
-    cluster.direct(agent).read("/load").await["epoch"].as_u64().unwrap_or(0)
+    cluster.server_caller(agent).read("/load").await["epoch"].as_u64().unwrap_or(0)
 }
--- a/tests/tests/eras.rs
+++ b/tests/tests/eras.rs
@@ -24,7 +24,7 @@
 const AWAY: Duration = Duration::from_millis(700);
 
 async fn status(system: &System, gateway: u8, key: &str) -> u16 {
-    system.ask(gateway, &Request::new("/alert/").with("x-api-key", key)).await.status
+    system.request(gateway, &Request::new("/alert/").with("x-api-key", key)).await.status
 }
 
 /// Waits until all gateways take the key.
@@ -45,7 +45,7 @@
     }
     let key = format!("key-{version}");
     taken(system, &key).await;
-    system.lose(AWAY).await;
+    system.restore_store(AWAY).await;
     (version, key)
 }
 
@@ -84,7 +84,7 @@
     for version in 2..2 + LOST {
         system.configure(version, &[KEY]).await;
     }
-    system.lose(AWAY).await;
+    system.restore_store(AWAY).await;
     let switches = || async { system.group_state().await["switches"].as_u64().unwrap() };
     let before = switches().await;
     system.group_control("/popular?expert=3").await;
--- a/tests/tests/gateway.rs
+++ b/tests/tests/gateway.rs
@@ -14,7 +14,7 @@
 async fn a_request_reaches_one_backend_server_as_it_was_sent() {
     let system = System::start(PLAN).await;
     let request = Request::new("/receipt/7?a=b").with("x-tenant", "forged");
-    let answer = system.ask(0, &request).await;
+    let answer = system.request(0, &request).await;
     assert_eq!(answer.status, 200);
     assert!(answer.headers["x-server-stamp"].to_str().unwrap().ends_with(&request.id));
     let arrivals = system.arrivals(&request.id).await;
@@ -30,10 +30,10 @@
 
     // Two requests that must not pass.
     let unknown = Request::new("/nowhere/");
-    assert_eq!(system.ask(0, &unknown).await.status, 404);
+    assert_eq!(system.request(0, &unknown).await.status, 404);
     let stranger = Request::new("/alert/").with("x-api-key", "stolen");
-    assert_eq!(system.ask(0, &stranger).await.status, 401);
-    assert_eq!(system.ask(0, &Request::new("/open/").without("x-api-key")).await.status, 200);
+    assert_eq!(system.request(0, &stranger).await.status, 401);
+    assert_eq!(system.request(0, &Request::new("/open/").without("x-api-key")).await.status, 200);
     assert!(system.arrivals(&unknown.id).await.is_empty());
     assert!(system.arrivals(&stranger.id).await.is_empty());
     let metrics = system.metrics(0).await;
@@ -48,16 +48,16 @@
     let system = System::start(PLAN).await;
     for fault in ["x-standin-lose", "x-standin-foreign"] {
         let once = Request::new("/receipt/").with(fault, "1");
-        assert_eq!(system.ask(0, &once).await.status, 502, "{fault}");
+        assert_eq!(system.request(0, &once).await.status, 502, "{fault}");
         assert_eq!(system.arrivals(&once.id).await.len(), 1, "{fault}");
         // What may be repeated is, but no more often than its route allows.
         let twice = Request::new("/alert/").with(fault, "1");
-        assert_eq!(system.ask(0, &twice).await.status, 502, "{fault}");
+        assert_eq!(system.request(0, &twice).await.status, 502, "{fault}");
         assert_eq!(system.arrivals(&twice.id).await.len(), 2, "{fault}");
     }
     // A failure that a backend server answered is handed on as it is.
     let failed = Request::new("/receipt/").with("x-standin-status", "500");
-    let answer = system.ask(0, &failed).await;
+    let answer = system.request(0, &failed).await;
     assert_eq!((answer.status, answer.headers.contains_key("x-server-stamp")), (500, true));
 }
 
@@ -66,7 +66,7 @@
     let system = System::start(PLAN).await;
     let request =
         Request::new("/draft/").with("x-standin-events", "12").with("x-standin-break", "5");
-    let answer = system.ask(0, &request).await;
+    let answer = system.request(0, &request).await;
     assert!(answer.complete);
     let pieces: Vec<String> = (1..=12).map(|n| format!("id: {n}\ndata: piece {n}\n\n")).collect();
     assert_eq!(answer.body, pieces.concat());
@@ -92,9 +92,9 @@
 async fn a_broken_group_refuses_at_once_and_serves_again_when_it_has_formed() {
     let system = System::start(PLAN).await;
     let request = || Request::new("/draft/").with("x-standin-events", "3");
-    assert_eq!(system.ask(0, &request()).await.status, 200);
+    assert_eq!(system.request(0, &request()).await.status, 200);
     system.group_control("/break").await;
-    let refused = system.ask(0, &request()).await;
+    let refused = system.request(0, &request()).await;
     assert_eq!(refused.status, 503);
     let after: f64 = refused.headers["retry-after"].to_str().unwrap().parse().unwrap();
     assert!(after > 1.0, "{after}");
@@ -102,23 +102,23 @@
     let mut reached = 0;
     for _ in 0..20 {
         let request = request();
-        assert_eq!(system.ask(0, &request).await.status, 503);
+        assert_eq!(system.request(0, &request).await.status, 503);
         reached += system.arrivals(&request.id).await.len();
     }
     assert_eq!(reached, 0, "a broken group ran a request");
     system.group_control("/mend").await;
-    until("the group serves", || async { system.ask(0, &request()).await.status == 200 }).await;
+    until("the group serves", || async { system.request(0, &request()).await.status == 200 }).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_draining_or_missing_backend_server_gets_nothing_new() {
     let system = System::start(PLAN).await;
     let leaving = ["plain-0", "plain-1"];
-    system.list(leaving[0], SMS, system.plain_address(0), "draining").await;
+    system.put_entry(leaving[0], SMS, system.plain_address(0), "draining").await;
     system.remove(&format!("servers/{}", leaving[1])).await;
     until("gateway 1 has heard of it", || async {
         let request = Request::new("/alert/");
-        assert_eq!(system.ask(1, &request).await.status, 200);
+        assert_eq!(system.request(1, &request).await.status, 200);
         system.arrivals(&request.id).await[0]["server"] == "plain-2"
             && system.gateways[1].log().iter().any(|line| line.contains("servers/plain-1"))
             && system.gateways[1]
@@ -131,7 +131,7 @@
     .await;
     for _ in 0..20 {
         let request = Request::new("/alert/");
-        assert_eq!(system.ask(1, &request).await.status, 200);
+        assert_eq!(system.request(1, &request).await.status, 200);
         assert_eq!(system.arrivals(&request.id).await[0]["server"], "plain-2");
     }
 }
@@ -162,8 +162,8 @@
 async fn without_a_configuration_nothing_is_refused_for_good() {
     let system = System::start(PLAN).await;
     system.store_control("fault/down").await;
-    let mut lonely = System::start_alone(&system, "").await;
-    let answer = system.ask(5, &Request::new("/alert/")).await;
+    let mut lonely = System::start_without_peers(&system, "").await;
+    let answer = system.request(5, &Request::new("/alert/")).await;
     assert_eq!(answer.status, 503);
     assert!(answer.headers.contains_key("retry-after"));
     lonely.kill().await;
@@ -175,18 +175,18 @@
     system.configure(2, &["another-key"]).await;
     for gateway in 0..PLAN.gateways {
         until("the key is refused", || async {
-            system.ask(gateway, &Request::new("/alert/")).await.status == 401
+            system.request(gateway, &Request::new("/alert/")).await.status == 401
         })
         .await;
         let request = Request::new("/alert/").with("x-api-key", "another-key");
-        assert_eq!(system.ask(gateway, &request).await.status, 200);
+        assert_eq!(system.request(gateway, &request).await.status, 200);
     }
     // An older version that arrives late changes nothing.
     system.configure(1, &[KEY]).await;
     system.configure(3, &["third-key"]).await;
     until("the third version is in force", || async {
         let request = Request::new("/alert/").with("x-api-key", "third-key");
-        system.ask(0, &request).await.status == 200
+        system.request(0, &request).await.status == 200
     })
     .await;
     let passed = system.gateways[0].log().iter().any(|line| line.contains("version=1 before=2"));
@@ -196,7 +196,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_gateway_that_can_take_no_more_connections_says_so() {
     let system = System::start(PLAN).await;
-    let full = System::start_alone(&system, "max_descriptors = 320\n").await;
+    let full = System::start_without_peers(&system, "max_descriptors = 320\n").await;
     until("it is ready", || system.is_ready(5)).await;
     let mut client = system.client(5).await;
     let mut idle = Vec::new();
@@ -212,5 +212,5 @@
     until("the log tells", || async { full.log().iter().any(told) }).await;
     drop(idle);
     until("it is ready again", || system.is_ready(5)).await;
-    assert_eq!(system.ask(5, &Request::new("/alert/")).await.status, 200);
+    assert_eq!(system.request(5, &Request::new("/alert/")).await.status, 200);
 }
--- a/tests/tests/groups.rs
+++ b/tests/tests/groups.rs
@@ -156,7 +156,7 @@
 /// Waits until a group has gone over to another map.
 async fn moves(system: &System, group: u8) {
     until("the group has another map", || async {
-        let state = system.state_of(group).await;
+        let state = system.group_state_of(group).await;
         state["switches"].as_u64().unwrap_or(0) > 0 && state["held"] == 0
     })
     .await;
@@ -168,7 +168,7 @@
     let _load = Load::start(&system).await;
     for group in 0..TWO_GROUPS.groups {
         moves(&system, group).await;
-        let state = system.state_of(group).await;
+        let state = system.group_state_of(group).await;
         assert_eq!(state["violations"], 0, "{state}");
     }
     // Neither group's driver took the other's term for that of its successor.
@@ -189,7 +189,7 @@
     drop(load);
     system.group_control("/break?group=0").await;
     for _ in 0..40 {
-        let answer = system.ask(0, &Request::new("/draft/")).await;
+        let answer = system.request(0, &Request::new("/draft/")).await;
         assert_eq!(answer.status, 200, "{}", answer.body);
     }
 }
--- a/tests/tests/limits.rs
+++ b/tests/tests/limits.rs
@@ -14,7 +14,7 @@
 use futures_util::future;
 use loftcove_tests::request::Request;
 use loftcove_tests::system::{Plan, System};
-use loftcove_tests::visits::{self, Sent, Undisturbed};
+use loftcove_tests::visits::{self, NoExemption, Sent};
 
 const PLAN: Plan =
     Plan { gateways: 3, ranks: 4, groups: 1, plain: 3, sidecars: false, proxied: false };
@@ -37,8 +37,8 @@
 ) -> Vec<(String, Sent, u16)> {
     let (mut all, begun) = (Vec::new(), now());
     while now() < begun + time.as_millis() as u64 {
-        let (request, at) = (Request::brief(ranks), now());
-        let status = system.ask(gateway, &request).await.status;
+        let (request, at) = (Request::short(ranks), now());
+        let status = system.request(gateway, &request).await.status;
         all.push((request.id, Sent { gateway, at, answered: now() }, status));
     }
     all
@@ -66,7 +66,7 @@
     set_limit(&system, ranks, server, "2").await;
     let (sent, unserved) = load(&system, ranks, ASKING).await;
     let visits = system.visits().await;
-    assert_eq!(visits::overruns(&visits, &sent, &Undisturbed), []);
+    assert_eq!(visits::overruns(&visits, &sent, &NoExemption), []);
     let of_server = visits.iter().filter(|visit| visit.server == server).count();
     assert!(of_server >= 11, "it takes two a second for 11 s, and got {of_server}");
     assert_eq!(unserved, 0, "requests that were not served while other servers had room");
@@ -92,7 +92,7 @@
     let ask_all = || async {
         let asked = (0..plan.gateways).map(|gateway| {
             let system = &system;
-            async move { system.ask(gateway, &Request::brief(false)).await.status }
+            async move { system.request(gateway, &Request::short(false)).await.status }
         });
         future::join_all(asked).await
     };
--- a/tests/tests/once.rs
+++ b/tests/tests/once.rs
@@ -73,7 +73,7 @@
         let told = self.told.lock().unwrap().clone();
         let mut runs: BTreeMap<String, u64> = BTreeMap::new();
         for agent in cluster.agents(cluster::SERVICE) {
-            let counts = cluster.direct(&agent).read("/standin/runs").await;
+            let counts = cluster.server_caller(&agent).read("/standin/runs").await;
             for (key, count) in counts.as_object().cloned().unwrap_or_default() {
                 *runs.entry(key).or_default() += count.as_u64().unwrap_or(0);
             }
--- a/tests/tests/outages.rs
+++ b/tests/tests/outages.rs
@@ -22,25 +22,25 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn entries_tell_of_a_break_and_of_its_end() {
     let system = System::start(PLAN).await;
-    system.tell_ranks().await;
-    assert_eq!(system.ask(0, &draft()).await.status, 200);
+    system.put_rank_entries().await;
+    assert_eq!(system.request(0, &draft()).await.status, 200);
 
     system.group_control("/break").await;
-    system.tell_ranks().await;
+    system.put_rank_entries().await;
     until("the break is heard of", || async { logged(&system, &["group down", "ground=told"]) })
         .await;
     for _ in 0..10 {
         let request = draft();
-        let answer = system.ask(0, &request).await;
+        let answer = system.request(0, &request).await;
         assert_eq!(answer.status, 503);
         assert!(answer.headers.contains_key("retry-after"));
         assert!(system.arrivals(&request.id).await.is_empty(), "nothing is sent into it");
     }
 
     system.group_control("/mend").await;
-    system.tell_ranks().await;
+    system.put_rank_entries().await;
     until("its return is heard of", || async { logged(&system, &["group up"]) }).await;
-    assert_eq!(system.ask(0, &draft()).await.status, 200);
+    assert_eq!(system.request(0, &draft()).await.status, 200);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -57,7 +57,7 @@
     .await;
     for _ in 0..6 {
         let request = draft();
-        assert_eq!(system.ask(0, &request).await.status, 200);
+        assert_eq!(system.request(0, &request).await.status, 200);
         let arrivals = system.arrivals(&request.id).await;
         assert!(arrivals.iter().all(|arrival| arrival["server"] != "rank-0"), "{arrivals:?}");
     }
@@ -69,9 +69,9 @@
 async fn a_backend_server_that_starts_again_under_its_id_is_used_anew() {
     let system = System::start(PLAN).await;
     let alert = || Request::new("/alert/");
-    assert_eq!(system.ask(0, &alert()).await.status, 200);
+    assert_eq!(system.request(0, &alert()).await.status, 200);
     let address = system.plain_address(0);
-    system.list_run("plain-0", loftcove_tests::system::SMS, address, 2_000).await;
+    system.put_entry_of_run("plain-0", loftcove_tests::system::SMS, address, 2_000).await;
     // Of an earlier start: old news, which says that it is leaving.
     let mut late = serde_json::json!({
         "service": loftcove_tests::system::SMS, "address": address, "zone": "norte",
@@ -84,6 +84,6 @@
     })
     .await;
     let request = alert();
-    assert_eq!(system.ask(0, &request).await.status, 200);
+    assert_eq!(system.request(0, &request).await.status, 200);
     assert_eq!(system.arrivals(&request.id).await.len(), 1);
 }
--- a/tests/tests/path.rs
+++ b/tests/tests/path.rs
@@ -21,7 +21,7 @@
         let newer = caller.over_http2().chat(cluster::MODEL, true, 7).await;
         assert_eq!((newer.tokens(), newer.outcome().as_str()), (7, "answered"), "{newer:?}");
         for path in ["/healthz", "/readyz", "/v1/models", "/metrics"] {
-            assert_eq!(caller.ask("GET", path, &[], "").await.status, 200, "{path}");
+            assert_eq!(caller.request("GET", path, &[], "").await.status, 200, "{path}");
         }
         let explained = cluster.tool("ana", &["explain", &streamed.request_id()]).await;
         assert!(explained.stdout.contains("candidates="), "{explained:?}");
--- a/tests/tests/poison.rs
+++ b/tests/tests/poison.rs
@@ -45,12 +45,12 @@
     let mut seen = 0;
     for gateway in (0..system.plan.gateways).cycle().take(TRIES) {
         let request = request(ranks).body(BODY).with("x-standin-end-ms", "50");
-        system.ask(gateway, &request).await;
-        system.mend(group(ranks), &mut seen).await;
+        system.request(gateway, &request).await;
+        system.restart_ended(group(ranks), &mut seen).await;
     }
     let ends = system.ends(group(ranks)).await;
     let third = ends.get(2).map_or(u64::MAX, |end| end["arrivals"].as_u64().unwrap());
-    let arrivals = system.reached(group(ranks)).await;
+    let arrivals = system.received(group(ranks)).await;
     let later = arrivals.iter().skip(third as usize);
     (ends.len(), later.filter(|arrival| arrival["body"] == BODY).count())
 }
@@ -88,9 +88,9 @@
         system.start_gateway(gateway);
     }
     for gateway in 0..PLAN.gateways {
-        system.ready(gateway).await;
+        system.wait_ready(gateway).await;
         let request = request(false).body(BODY).with("x-standin-end-ms", "50");
-        assert_eq!(system.ask(gateway, &request).await.status, 502);
+        assert_eq!(system.request(gateway, &request).await.status, 502);
         assert!(system.arrivals(&request.id).await.is_empty());
     }
     assert_eq!(system.ends(None).await.len(), before);
@@ -104,14 +104,14 @@
         let request = Request::new("/alert/").body(&format!("other-{number}"));
         let request = request.with("x-standin-delay-ms", ms);
         let system = &system;
-        async move { system.ask(number % PLAN.gateways, &request).await.status }
+        async move { system.request(number % PLAN.gateways, &request).await.status }
     };
     let mut seen = 0;
     for round in 0..PLAN.gateways {
         let others = futures_util::future::join_all((0..9).map(|number| other(number, "60")));
         let guilty = request(false).body(BODY).with("x-standin-end-ms", "30");
-        tokio::join!(others, system.ask(round, &guilty));
-        system.mend(group(false), &mut seen).await;
+        tokio::join!(others, system.request(round, &guilty));
+        system.restart_ended(group(false), &mut seen).await;
         for number in 0..9 {
             assert_eq!(other(number, "0").await, 200, "round {round}, other {number}");
         }
@@ -128,14 +128,14 @@
     let guilty = |gateway: u8| {
         let request = receipt().with("x-standin-delay-ms", "1000").with("x-standin-end-ms", "20");
         let system = &system;
-        async move { system.ask(gateway, &request).await.status }
+        async move { system.request(gateway, &request).await.status }
     };
     assert_eq!(guilty(0).await, 502);
-    system.mend(group(false), &mut seen).await;
+    system.restart_ended(group(false), &mut seen).await;
     let failed = receipt().with("x-standin-status", "500");
-    assert_eq!(system.ask(1, &failed).await.status, 500);
+    assert_eq!(system.request(1, &failed).await.status, 500);
     assert_eq!(guilty(2).await, 502);
-    system.mend(group(false), &mut seen).await;
+    system.restart_ended(group(false), &mut seen).await;
     guilty(0).await;
     assert_eq!(system.ends(None).await.len(), 2);
 }
@@ -148,8 +148,8 @@
     let mut seen = 0;
     for gateway in 0..PLAN.gateways {
         let request = request(true).body(BODY).with("x-standin-linger-ms", "40");
-        system.ask(gateway, &request.with("x-standin-end-ms", "50")).await;
-        system.mend(group(true), &mut seen).await;
+        system.request(gateway, &request.with("x-standin-end-ms", "50")).await;
+        system.restart_ended(group(true), &mut seen).await;
     }
     assert_eq!(seen, 2, "servers that ended");
 }
--- a/tests/tests/refusals.rs
+++ b/tests/tests/refusals.rs
@@ -22,7 +22,8 @@
     let cluster = small().await;
     let host = cluster.entries().remove(0);
     let caller = cluster.caller(&host);
-    let stranger = caller::Caller::new(cluster.members[&host].http.unwrap(), "no-such-token");
+    let stranger =
+        caller::Caller::new(cluster.members[&host].http_address.unwrap(), "no-such-token");
     let prompt = caller::prompt(cluster::MODEL, false, 1);
     let big = "x".repeat(2_000_000);
     let long = "x".repeat(20_000);
@@ -33,7 +34,7 @@
         async move {
             let headers: Vec<(&str, &str)> =
                 headers.iter().map(|(n, v)| (*n, v.as_str())).collect();
-            let answer = caller.ask("POST", path, &headers, &body).await;
+            let answer = caller.request("POST", path, &headers, &body).await;
             (answer.status, answer.kind(), answer.outcome())
         }
     };
@@ -79,9 +80,9 @@
     let cluster = small().await;
     let host = cluster.entries().remove(0);
     let caller = cluster.caller(&host);
-    let engine = cluster.direct("rank-sala-braga-0-host");
+    let engine = cluster.server_caller("rank-sala-braga-0-host");
     let prompt = caller::prompt(cluster::MODEL, true, 50);
-    let broken = caller.ask("POST", CHAT, &[("x-standin-break-after", "5")], &prompt).await;
+    let broken = caller.request("POST", CHAT, &[("x-standin-break-after", "5")], &prompt).await;
     assert!(!broken.complete, "{broken:?}");
     assert!(broken.body.contains("event: error") && !broken.body.contains("[DONE]"), "{broken:?}");
     let endless = caller::prompt(cluster::MODEL, true, 1_000_000);
@@ -96,7 +97,7 @@
     })
     .await;
     // A deadline that passes in mid-stream ends the answer as broken, too.
-    let short = caller.ask("POST", CHAT, &[("loftcove-deadline-ms", "300")], &endless).await;
+    let short = caller.request("POST", CHAT, &[("loftcove-deadline-ms", "300")], &endless).await;
     assert!(!short.complete && short.body.contains("answer-lost"), "{short:?}");
     until("the late request is cancelled", || async { running().await == Some(0) }).await;
 }
@@ -120,15 +121,15 @@
         [("loftcove-class", "draft"), ("idempotency-key", &*key), ("x-standin-end-ms", "50")];
     let path = format!("/services/{}/send", cluster::SERVICE);
     for ended in 1..=2 {
-        let answer = caller.ask("POST", &path, &headers, "ends its server").await;
+        let answer = caller.request("POST", &path, &headers, "ends its server").await;
         assert_eq!((answer.status, answer.outcome().as_str()), (502, "unknown"), "{answer:?}");
         assert_eq!(gone(&mut cluster).await, ended);
     }
-    let answer = caller.ask("POST", &path, &headers, "ends its server").await;
+    let answer = caller.request("POST", &path, &headers, "ends its server").await;
     assert_eq!((answer.status, answer.kind()), (502, "ends-servers".to_owned()));
     assert_eq!(gone(&mut cluster).await, 2);
     let other = [("loftcove-class", "draft"), ("idempotency-key", &*key)];
-    assert_eq!(caller.ask("POST", &path, &other, "another").await.status, 200);
+    assert_eq!(caller.request("POST", &path, &other, "another").await.status, 200);
 }
 
 /// A backend server behind its agent says something of itself in an answer with that
@@ -146,7 +147,7 @@
     let key = uuid::Uuid::now_v7().to_string();
     let headers = [said, ("idempotency-key", &*key)];
     let path = format!("/services/{}/send", cluster::SERVICE);
-    let answer = caller.ask("POST", &path, &headers, "").await;
+    let answer = caller.request("POST", &path, &headers, "").await;
     assert_eq!(answer.status, status, "{answer:?}");
     let before = runs(&cluster).await;
     for _ in 0..20 {
@@ -174,7 +175,7 @@
 async fn runs(cluster: &cluster::Cluster) -> Vec<usize> {
     let mut runs = Vec::new();
     for agent in cluster.agents(cluster::SERVICE) {
-        let counts = cluster.direct(&agent).read("/standin/runs").await;
+        let counts = cluster.server_caller(&agent).read("/standin/runs").await;
         runs.push(counts.as_object().unwrap().len());
     }
     runs
@@ -182,5 +183,5 @@
 
 /// Backend servers that have ended.
 async fn gone(cluster: &mut cluster::Cluster) -> usize {
-    cluster.servers.values_mut().filter_map(|server| server.ended().then_some(())).count()
+    cluster.servers.values_mut().filter_map(|server| server.has_exited().then_some(())).count()
 }
--- a/tests/tests/rest.rs
+++ b/tests/tests/rest.rs
@@ -19,7 +19,7 @@
 use loftcove_tests::request::Request;
 use loftcove_tests::system::{Plan, SMS, System};
 use loftcove_tests::until;
-use loftcove_tests::visits::{self, Sent, Undisturbed};
+use loftcove_tests::visits::{self, NoExemption, Sent};
 
 const PLAN: Plan =
     Plan { gateways: 3, ranks: 4, groups: 1, plain: 3, sidecars: false, proxied: false };
@@ -43,8 +43,8 @@
 async fn ask(system: &System, gateway: u8, ranks: bool, count: usize) -> Vec<(String, Sent, u16)> {
     let mut all = Vec::new();
     for _ in 0..count {
-        let (request, at) = (Request::brief(ranks), now());
-        let status = system.ask(gateway, &request).await.status;
+        let (request, at) = (Request::short(ranks), now());
+        let status = system.request(gateway, &request).await.status;
         all.push((request.id, Sent { gateway, at, answered: now() }, status));
     }
     all
@@ -68,7 +68,7 @@
     let (sent, unserved) = load(&system, ranks).await;
     let visits = system.visits().await;
     assert!(visits.iter().any(|visit| visit.shed.is_some()), "nothing was refused");
-    assert_eq!(visits::worst(visits::unrested(&visits, &sent, &Undisturbed)), None);
+    assert_eq!(visits::worst(visits::rest_violations(&visits, &sent, &NoExemption)), None);
     assert_eq!(unserved, 0, "requests that were not served while other servers had room");
 }
 
@@ -90,7 +90,7 @@
     let (sent, unserved) = load(&system, ranks).await;
     let visits = system.visits().await;
     assert!(visits.iter().any(|visit| visit.leaving), "no answer told it");
-    assert_eq!(visits::worst(visits::undrained(&visits, &sent, &Undisturbed)), None);
+    assert_eq!(visits::worst(visits::drain_violations(&visits, &sent, &NoExemption)), None);
     assert_eq!(unserved, 0, "requests that were not served while other servers had room");
 }
 
@@ -111,7 +111,7 @@
 async fn a_server_that_starts_again_serves_whatever_its_clock() {
     let system = System::start(PLAN).await;
     // Its clock is far behind.
-    let start = |born| system.list_run("plain-1", SMS, system.plain_address(1), born);
+    let start = |born| system.put_entry_of_run("plain-1", SMS, system.plain_address(1), born);
     start(1).await;
     let leave = |on: u8| format!("/leave?server=plain-1&on={on}");
     system.servers_control(None, &leave(1)).await;
@@ -135,7 +135,7 @@
 /// Asks once; returns whether that reached the server `plain-1`.
 async fn reaches(system: &System, sent: &mut BTreeMap<String, Sent>, request: Request) -> bool {
     let at = now();
-    system.ask(0, &request).await;
+    system.request(0, &request).await;
     let visits = system.visits().await;
     let reached = visits.iter().any(|v| v.request == request.id && v.server == "plain-1");
     sent.insert(request.id, Sent { gateway: 0, at, answered: now() });
@@ -154,5 +154,5 @@
     tokio::time::sleep(Duration::from_millis(visits::DRAIN_MS)).await;
     while !reaches(&system, &mut sent, Request::new("/alert/")).await {}
     let visits = system.visits().await;
-    assert_eq!(visits::worst(visits::undrained(&visits, &sent, &Undisturbed)), None);
+    assert_eq!(visits::worst(visits::drain_violations(&visits, &sent, &NoExemption)), None);
 }
--- a/tests/tests/silences.rs
+++ b/tests/tests/silences.rs
@@ -17,7 +17,7 @@
     for gateway in 0..PLAN.gateways {
         let taken = || async {
             let request = Request::new("/alert/").key(key);
-            system.ask(gateway, &request).await.status == 200
+            system.request(gateway, &request).await.status == 200
         };
         until(&format!("gateway {gateway} takes {key}"), taken).await;
     }
@@ -146,15 +146,15 @@
     let mut system = System::start(Plan { gateways: 1, plain: 1, ..PLAN }).await;
     // Requests at the same time leave a kept connection each.
     let requests: Vec<Request> = (0..4).map(|_| Request::new("/alert/")).collect();
-    let together = requests.iter().map(|request| system.ask(0, request));
+    let together = requests.iter().map(|request| system.request(0, request));
     for answer in futures_util::future::join_all(together).await {
         assert_eq!(answer.status, 200);
     }
     system.link("plain-0", "silence").await;
-    let lost = system.ask(0, &Request::new("/alert/")).await.status;
+    let lost = system.request(0, &Request::new("/alert/")).await.status;
     assert_ne!(lost, 200);
     for _ in 0..4 {
-        assert_eq!(system.ask(0, &Request::new("/alert/")).await.status, 200);
+        assert_eq!(system.request(0, &Request::new("/alert/")).await.status, 200);
     }
 }
 
@@ -171,6 +171,6 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn connections_to_backend_servers_are_probed() {
     let system = System::start(Plan { gateways: 1, plain: 1, ..PLAN }).await;
-    assert_eq!(system.ask(0, &Request::new("/alert/")).await.status, 200);
+    assert_eq!(system.request(0, &Request::new("/alert/")).await.status, 200);
     assert!(probed_connections(system.plain_address(0)) > 0);
 }
--- a/tests/tests/stopping.rs
+++ b/tests/tests/stopping.rs
@@ -31,7 +31,7 @@
     let mut served = 0;
     while began.elapsed() < GRACE {
         let request = Request::new("/alert/").with("x-standin-delay-ms", "100");
-        let answer = system.ask(0, &request).await;
+        let answer = system.request(0, &request).await;
         match answer.status {
             200 => served += 1,
             503 => {}
@@ -59,7 +59,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stop_writes_answers_out_to_clients_behind_a_small_window() {
     let mut system = System::start(PLAN).await;
-    let mut stream = client::behind_small_window(system.client_address(0)).await;
+    let mut stream = client::connect_with_small_window(system.client_address(0)).await;
     system.gateways[0].signal(libc::SIGTERM);
     tokio::time::sleep(ASKED).await;
     let request = Request::new("/alert/").with("x-standin-events", EVENTS);
--- a/tests/tests/stops.rs
+++ b/tests/tests/stops.rs
@@ -79,7 +79,7 @@
     let caller = cluster.caller(&entry);
     let agents = cluster.agents(cluster::SERVICE);
     let ran = |cluster: &cluster::Cluster, agent: &str| {
-        let direct = cluster.direct(agent);
+        let direct = cluster.server_caller(agent);
         async move {
             let runs = direct.read("/standin/runs").await;
             runs.as_object().map_or(0, serde_json::Map::len)
@@ -146,9 +146,9 @@
 async fn a_stop_writes_answers_out_to_callers_behind_a_small_window() {
     let mut cluster = cluster::Cluster::start(cluster::Plan::default()).await;
     let entry = cluster.entries().remove(0);
-    let address = cluster.members[&entry].http.unwrap();
+    let address = cluster.members[&entry].http_address.unwrap();
     let key = uuid::Uuid::now_v7().to_string();
-    let mut stream = client::behind_small_window(address).await;
+    let mut stream = client::connect_with_small_window(address).await;
     let (service, token) = (cluster::SERVICE, cluster::TOKEN);
     let request = format!(
         "POST /services/{service}/send HTTP/1.1\r\nhost: entry\r\nauthorization: Bearer {token}\r\n\
--- a/tests/tests/stores.rs
+++ b/tests/tests/stores.rs
@@ -10,7 +10,7 @@
     Plan { gateways: 3, ranks: 2, groups: 1, plain: 2, sidecars: false, proxied: false };
 
 async fn refused(system: &System, gateway: u8, key: &str) -> bool {
-    system.ask(gateway, &Request::new("/alert/").with("x-api-key", key)).await.status == 401
+    system.request(gateway, &Request::new("/alert/").with("x-api-key", key)).await.status == 401
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -42,7 +42,7 @@
     })
     .await;
     for gateway in 0..PLAN.gateways {
-        assert_eq!(system.ask(gateway, &Request::new("/alert/")).await.status, 200);
+        assert_eq!(system.request(gateway, &Request::new("/alert/")).await.status, 200);
     }
     system.configure(2, &["new-key"]).await;
     system.store_control("fault/none").await;
@@ -91,9 +91,9 @@
     })
     .await;
     // Nobody lost its backend servers meanwhile.
-    assert_eq!(system.ask(0, &Request::new("/alert/")).await.status, 200);
+    assert_eq!(system.request(0, &Request::new("/alert/")).await.status, 200);
     let (id, address) = entry(1);
-    system.list(&id, loftcove_tests::system::SMS, address, "ready").await;
+    system.put_entry(&id, loftcove_tests::system::SMS, address, "ready").await;
     until("the one that stayed away is gone", || async {
         // Its own wait is over, or a peer's was first.
         let over = |line: &String| {
@@ -105,7 +105,7 @@
     .await;
     for _ in 0..10 {
         let request = Request::new("/alert/");
-        assert_eq!(system.ask(0, &request).await.status, 200);
+        assert_eq!(system.request(0, &request).await.status, 200);
         assert_eq!(system.arrivals(&request.id).await[0]["server"], "plain-1");
     }
 }
--- a/tests/tests/visits.rs
+++ b/tests/tests/visits.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use loftcove_tests::visits::{self, ALLOWED, DRAIN_MS, Sent, Undisturbed, Visit};
+use loftcove_tests::visits::{self, DRAIN_MS, MAX_REQUESTS_DURING_REST, NoExemption, Sent, Visit};
 
 fn visit(request: &str, at: u64) -> Visit {
     let (server, request) = ("s".to_owned(), request.to_owned());
@@ -19,12 +19,12 @@
 fn in_a_rest(times: &[u64]) -> usize {
     let mut visits = vec![Visit { shed: Some("2".to_owned()), ..visit("asked", 1_000) }];
     visits.extend(times.iter().map(|at| visit(&format!("r{at}"), *at)));
-    visits::unrested(&visits, &sent(&visits), &Undisturbed).len()
+    visits::rest_violations(&visits, &sent(&visits), &NoExemption).len()
 }
 
 #[test]
 fn two_requests_are_allowed_from_half_a_second_on_until_the_rest_is_over() {
-    assert_eq!(ALLOWED, 2);
+    assert_eq!(MAX_REQUESTS_DURING_REST, 2);
     assert_eq!(in_a_rest(&[1_100, 1_499, 1_500, 3_000, 3_001]), 0);
     assert_eq!(in_a_rest(&[1_500, 2_000, 3_000]), 1);
 }
@@ -36,14 +36,15 @@
     visits.extend((0..9).map(|n| visit(&format!("g{n}"), 2_000)));
     let mut sent = sent(&visits);
     sent.iter_mut().filter(|(id, _)| id.starts_with('g')).for_each(|(_, sent)| sent.gateway = 1);
-    assert_eq!(visits::unrested(&visits, &sent, &Undisturbed), []);
+    assert_eq!(visits::rest_violations(&visits, &sent, &NoExemption), []);
 }
 
 #[test]
 fn what_a_client_sends_later_than_the_drain_after_it_was_told_may_not_arrive() {
     let told = Visit { leaving: true, ..visit("told", 1_000) };
     let late = |at| [told.clone(), visit("late", at)];
-    let count = |visits: &[Visit]| visits::undrained(visits, &sent(visits), &Undisturbed).len();
+    let count =
+        |visits: &[Visit]| visits::drain_violations(visits, &sent(visits), &NoExemption).len();
     assert_eq!(count(&late(1_000 + DRAIN_MS)), 0);
     assert_eq!(count(&late(1_001 + DRAIN_MS)), 1);
 }
@@ -54,7 +55,7 @@
     let named = |request: &str, at| Visit { limit: Some(1.0), told: true, ..visit(request, at) };
     let mut visits = vec![named("first", 1_000)];
     visits.extend(times.iter().map(|at| named(&format!("r{at}"), *at)));
-    visits::overruns(&visits, &sent(&visits), &Undisturbed).len()
+    visits::overruns(&visits, &sent(&visits), &NoExemption).len()
 }
 
 #[test]
@@ -76,5 +77,5 @@
     let mut sent = sent(&visits);
     // All but the first are of a gateway that passes its first answer on at 5,000 ms.
     sent.values_mut().filter(|sent| sent.at >= 5_000).for_each(|sent| sent.gateway = 1);
-    assert_eq!(visits::overruns(&visits, &sent, &Undisturbed), []);
+    assert_eq!(visits::overruns(&visits, &sent, &NoExemption), []);
 }
