--- a/tests/src/system.rs
+++ b/tests/src/system.rs
@@ -1,7 +1,7 @@
-//! Gateways, sidecars, backend servers and a store, as on the users' machines.
+//! A system of gateways, sidecars, backend servers and a store, as users deploy it.
 //!
-//! Each system has loopback addresses of its own, so that all its hosts can
-//! listen on the same ports, as they do there.
+//! Each system reserves its own loopback subnet. All hosts of a system can therefore listen on
+//! the same ports, as they do in a deployment.
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -30,88 +30,88 @@
 const METRICS_PORT: u16 = 9_464;
 const SERVER_PORT: u16 = 8_100;
 
-/// Time after which operator and backend servers write again what the store has lost.
-const WRITTEN_AGAIN: Duration = Duration::from_millis(500);
+/// Time after which the operator and the backend servers rewrite what the store has lost.
+const REWRITE_DELAY: Duration = Duration::from_millis(500);
 
-/// Last part of the address of the first rank's host, and of its sidecar where
-/// the proxy listens in its place.
+/// Last byte of the address of the first rank's host.
 const FIRST_RANK: u8 = 100;
-const FIRST_PROXIED: u8 = 170;
+/// Last byte of the address of the first sidecar if the proxy listens on the host's address.
+const FIRST_SIDECAR_BEHIND_PROXY: u8 = 170;
 
-/// What is started.
+/// Numbers and kinds of processes to start.
 #[derive(Debug, Clone, Copy)]
 pub struct Plan {
-    /// Gateways.
+    /// Number of gateways.
     pub gateways: u8,
-    /// Ranks of all lock-step groups together.
+    /// Number of ranks of all lock-step groups together.
     pub ranks: u8,
-    /// Lock-step groups, of the same size.
+    /// Number of lock-step groups. All have the same size.
     pub groups: u8,
-    /// Plain servers.
+    /// Number of plain servers.
     pub plain: u8,
     /// Whether each rank has a sidecar.
     pub sidecars: bool,
-    /// Whether connections to backend servers, to the store and to sidecars go
-    /// through the fault-injecting proxy; see [`System::link`].
+    /// Whether connections to backend servers, to the store and to sidecars pass through the
+    /// fault-injecting proxy. See [`System::link`].
     pub proxied: bool,
 }
 
-/// The system.
+/// A running system.
 pub struct System {
-    /// What was started.
+    /// Plan that the system was started from.
     pub plan: Plan,
-    /// The store's stand-in.
+    /// Stand-in for the store.
     pub store: process::Process,
-    /// Talks to the store's stand-in.
+    /// Caller of the store's control interface.
     pub control: caller::Caller,
-    /// The group's stand-in, and who talks to it.
+    /// Stand-in for the lock-step groups, and a caller of its control interface.
     pub group: (process::Process, caller::Caller),
-    /// The plain servers' stand-in, and who talks to it.
+    /// Stand-in for the plain servers, and a caller of its control interface.
     pub plain: (process::Process, caller::Caller),
     /// Gateways.
     pub gateways: Vec<process::Process>,
     /// Sidecars.
     pub sidecars: Vec<process::Process>,
-    /// Names and logs of processes that were replaced by a later start.
+    /// Names and logs of the processes that a restart has replaced.
     pub replaced: Vec<(String, process::Log)>,
     proxy: Option<process::Process>,
     folder: process::Folder,
-    net: Net,
+    subnet: Subnet,
     store_address: SocketAddr,
-    /// What the platform last wrote, or removed, by key.
+    /// Value that the platform last wrote to each key, or `None` if it removed the key.
     written: Mutex<BTreeMap<String, Option<Value>>>,
-    /// Addresses at which hosts reach the store through the proxy.
+    /// Proxy addresses of the store, by the host that connects through them.
     stores: BTreeMap<String, SocketAddr>,
     version: u64,
 }
 
-/// Addresses below 127.0.0.0/8 that no other system has, of this process or of another one,
-/// while this is held.
-struct Net {
+/// A subnet of 127.0.0.0/8 that is reserved until this value is dropped. No other system of this
+/// process or of another one uses it.
+struct Subnet {
     bytes: [u8; 2],
-    /// Bound for as long as the addresses are taken.
+    /// Socket whose binding holds the reservation.
     _reservation: std::net::UdpSocket,
 }
 
-/// Host and port whose binding reserves a net's addresses; no program uses them.
-const RESERVED: (u8, u16) = (254, 21_000);
+/// Last byte and port of the address whose binding reserves a subnet. No program uses it.
+const RESERVATION: (u8, u16) = (254, 21_000);
 
-impl Net {
-    fn reserve() -> Net {
+impl Subnet {
+    fn reserve() -> Subnet {
         static NEXT: AtomicU32 = AtomicU32::new(0);
         loop {
             let number = std::process::id() * 4 + NEXT.fetch_add(1, Ordering::Relaxed);
             let bytes = [16 + (number / 256 % 200) as u8, (number % 256) as u8];
-            let address = Ipv4Addr::new(127, bytes[0], bytes[1], RESERVED.0);
-            if let Ok(reservation) = std::net::UdpSocket::bind((address, RESERVED.1)) {
-                return Net { bytes, _reservation: reservation };
+            let address = Ipv4Addr::new(127, bytes[0], bytes[1], RESERVATION.0);
+            if let Ok(reservation) = std::net::UdpSocket::bind((address, RESERVATION.1)) {
+                return Subnet { bytes, _reservation: reservation };
             }
         }
     }
 }
 
 impl Drop for System {
-    /// Keeps the logs of a test that fails: the failure may not come again.
+    /// Saves the logs if the test fails, because the failure may not be reproducible.
     fn drop(&mut self) {
         if !std::thread::panicking() {
             return;
@@ -124,7 +124,7 @@
 }
 
 impl System {
-    /// What all processes of ours have logged, those included that were replaced.
+    /// Returns the log lines of all gateways and sidecars by name, including replaced processes.
     pub fn logs(&self) -> Vec<(String, Vec<String>)> {
         let gateways = self.gateways.iter().enumerate();
         let gateways =
@@ -132,32 +132,36 @@
         let sidecars = self.sidecars.iter().enumerate();
         let sidecars =
             sidecars.map(|(number, process)| (format!("sidecar-{number}"), process.log()));
-        let earlier = self.replaced.iter().enumerate();
-        let earlier = earlier.map(|(n, (name, log))| (format!("{name}-replaced-{n}"), log.lines()));
-        gateways.chain(sidecars).chain(earlier).collect()
+        let replaced = self.replaced.iter().enumerate();
+        let replaced =
+            replaced.map(|(n, (name, log))| (format!("{name}-replaced-{n}"), log.lines()));
+        gateways.chain(sidecars).chain(replaced).collect()
     }
 
-    /// Starts everything, with a first configuration.
+    /// Starts all processes with an initial configuration and waits until all gateways are ready.
     pub async fn start(plan: Plan) -> System {
         let mut store = process::Process::start("standin-platform", &[]);
         let store_address = store.read_address().await;
-        let net = Net::reserve();
-        assert!(plan.ranks <= FIRST_PROXIED - FIRST_RANK, "addresses for so many ranks");
-        let lockstep = servers(net.bytes, FIRST_RANK, plan.ranks, "rank");
-        let plain = servers(net.bytes, 50, plan.plain, "plain");
+        let subnet = Subnet::reserve();
+        assert!(
+            plan.ranks <= FIRST_SIDECAR_BEHIND_PROXY - FIRST_RANK,
+            "addresses for so many ranks"
+        );
+        let lockstep = servers(subnet.bytes, FIRST_RANK, plan.ranks, "rank");
+        let plain = servers(subnet.bytes, 50, plan.plain, "plain");
         let proxy = plan.proxied.then(|| process::Process::start("fault-proxy", &[]));
         let mut system = System {
             plan,
             store,
             control: caller::Caller::new(store_address, ""),
-            group: servers_of(&lockstep, Some(plan.groups), plan.proxied).await,
-            plain: servers_of(&plain, None, plan.proxied).await,
+            group: start_servers(&lockstep, Some(plan.groups), plan.proxied).await,
+            plain: start_servers(&plain, None, plan.proxied).await,
             gateways: Vec::new(),
             sidecars: Vec::new(),
             replaced: Vec::new(),
             proxy,
             folder: process::Folder::new(),
-            net,
+            subnet,
             store_address,
             written: Mutex::default(),
             stores: BTreeMap::new(),
@@ -187,7 +191,7 @@
         system
     }
 
-    /// Puts the proxy before the backend servers, each a target with its id.
+    /// Routes connections to the backend servers through the proxy, with their ids as targets.
     async fn interpose(&mut self, servers: impl Iterator<Item = &(String, SocketAddr)>) {
         let Some(proxy) = &mut self.proxy else { return };
         for (id, address) in servers {
@@ -196,8 +200,8 @@
         }
     }
 
-    /// Puts the proxy before a sidecar, as the target `sidecar-RANK`. Drivers reach
-    /// it at its engine's host.
+    /// Routes connections to a sidecar through the proxy, as the target `sidecar-RANK`. Drivers
+    /// reach a sidecar at the address of its engine's host.
     async fn interpose_sidecar(&mut self, rank: u8) {
         let (listen, real) = (self.rank_ip(rank), self.sidecar_ip(rank));
         let Some(proxy) = &mut self.proxy else { return };
@@ -205,41 +209,41 @@
         proxy.send_command(&line).await;
     }
 
-    /// Address of a rank's host.
+    /// Returns the address of a rank's host.
     fn rank_ip(&self, rank: u8) -> Ipv4Addr {
-        Ipv4Addr::new(127, self.net.bytes[0], self.net.bytes[1], FIRST_RANK + rank)
+        Ipv4Addr::new(127, self.subnet.bytes[0], self.subnet.bytes[1], FIRST_RANK + rank)
     }
 
-    /// Address that a rank's sidecar listens on: another one if the proxy listens
-    /// on its own.
+    /// Returns the address that a rank's sidecar listens on. It differs from the host's address
+    /// if the proxy listens there.
     fn sidecar_ip(&self, rank: u8) -> Ipv4Addr {
-        let first = if self.proxy.is_some() { FIRST_PROXIED } else { FIRST_RANK };
-        Ipv4Addr::new(127, self.net.bytes[0], self.net.bytes[1], first + rank)
+        let first = if self.proxy.is_some() { FIRST_SIDECAR_BEHIND_PROXY } else { FIRST_RANK };
+        Ipv4Addr::new(127, self.subnet.bytes[0], self.subnet.bytes[1], first + rank)
     }
 
-    /// Puts the proxy between a host and the store, as the target `store-HOST`.
+    /// Routes a host's connections to the store through the proxy, as the target `store-HOST`.
     async fn interpose_store(&mut self, host: &str) {
         let Some(proxy) = &mut self.proxy else { return };
         let line = format!("target store-{host} norte {}", self.store_address);
         let answer = proxy.send_command(&line).await;
         let address = answer.rsplit(' ').next().and_then(|text| text.parse().ok());
-        self.stores.insert(host.to_owned(), address.expect("the proxy tells its address"));
+        self.stores.insert(host.to_owned(), address.expect("the proxy prints its address"));
     }
 
-    /// Sets a fault of all connections to a target of the proxy, or to `*`; see
-    /// `loftcove_standins::proxy`.
+    /// Sets the fault of all connections to a target of the proxy, or to all targets with `*`.
+    /// See `loftcove_standins::proxy`.
     pub async fn link(&mut self, target: &str, fault: &str) {
         let proxy = self.proxy.as_mut().expect("the system has a proxy");
         assert_eq!(proxy.send_command(&format!("link * {target} {fault}")).await, "set");
     }
 
-    /// Address that clients connect to at a gateway.
+    /// Returns the address that clients of a gateway connect to.
     pub fn client_address(&self, gateway: u8) -> SocketAddr {
         (self.gateway_ip(gateway), CLIENT_PORT).into()
     }
 
-    /// Starts one more gateway beside a system, without peers, with lines for its
-    /// section `[serving]`; its number is 5.
+    /// Starts an additional gateway without peers, with the given lines in its section
+    /// `[serving]`. Its index is 5.
     pub async fn start_without_peers(system: &System, serving: &str) -> process::Process {
         let ip = system.gateway_ip(5);
         let text = format!(
@@ -253,19 +257,19 @@
         let file = system.folder.write("lonely.toml", &text);
         let mut gateway = process::Process::start("loftcoved", &["gateway".to_owned(), file]);
         gateway.log_output();
-        until("it listens", || async {
+        until("the gateway listens", || async {
             tokio::net::TcpStream::connect((ip, CLIENT_PORT)).await.is_ok()
         })
         .await;
         gateway
     }
 
-    /// Address of a gateway's host.
+    /// Returns the address of a gateway's host.
     pub fn gateway_ip(&self, index: u8) -> Ipv4Addr {
-        Ipv4Addr::new(127, self.net.bytes[0], self.net.bytes[1], 10 + index)
+        Ipv4Addr::new(127, self.subnet.bytes[0], self.subnet.bytes[1], 10 + index)
     }
 
-    /// Id of a rank's backend server.
+    /// Returns the id of a rank's backend server.
     pub fn rank_id(&self, rank: u8) -> String {
         format!("rank-{rank}")
     }
@@ -275,16 +279,16 @@
         self.put(&format!("servers/{id}"), &entry(service, address, state)).await;
     }
 
-    /// Writes the entry of a backend server that started then, Unix milliseconds.
+    /// Writes the entry of the run of a backend server that started at `born`, in Unix
+    /// milliseconds.
     pub async fn put_entry_of_run(&self, id: &str, service: &str, address: SocketAddr, born: u64) {
         let mut entry = entry(service, address, "ready");
         entry["born"] = json!(born);
         self.put(&format!("servers/{id}"), &entry).await;
     }
 
-    /// Writes the entries of all ranks with what each now tells of its group, as
-    /// the platform's backend servers do. Until this is called, their entries tell
-    /// nothing of it.
+    /// Writes the entries of all ranks with the group state that each now reports, as the
+    /// platform's backend servers do. Before the first call, entries have no group state.
     pub async fn put_rank_entries(&self) {
         for rank in 0..self.plan.ranks {
             let address = SocketAddr::from((self.rank_ip(rank), SERVER_PORT));
@@ -297,33 +301,33 @@
         }
     }
 
-    /// Address of a plain server.
+    /// Returns the address of a plain server.
     pub fn plain_address(&self, index: u8) -> SocketAddr {
-        (Ipv4Addr::new(127, self.net.bytes[0], self.net.bytes[1], 50 + index), SERVER_PORT).into()
+        (Ipv4Addr::new(127, self.subnet.bytes[0], self.subnet.bytes[1], 50 + index), SERVER_PORT)
+            .into()
     }
 
-    /// Writes a key as the platform does.
+    /// Writes a key, as the platform does.
     pub async fn put(&self, key: &str, value: &Value) {
         let path = format!("/standin/put?key={key}");
         let answer = self.control.request("PUT", &path, &[], &value.to_string()).await;
         assert_eq!(answer.status, 200);
-        self.wrote(key, Some(value.clone()));
+        self.record_write(key, Some(value.clone()));
     }
 
-    fn wrote(&self, key: &str, value: Option<Value>) {
+    fn record_write(&self, key: &str, value: Option<Value>) {
         let mut written = self.written.lock().expect("no holder of the keys panics");
         written.insert(key.to_owned(), value);
     }
 
-    /// Has the store come back from the copy that was taken last, after it was away for
-    /// that time; operator and backend servers write again what they wrote, half a second
-    /// later.
+    /// Stops the store for the time `away` and restores it from the last copy. Half a second
+    /// later the operator and the backend servers rewrite what they had written.
     pub async fn restore_store(&self, away: Duration) {
         self.store_control("fault/down").await;
         tokio::time::sleep(away).await;
         self.store_control("restore").await;
         self.store_control("fault/none").await;
-        tokio::time::sleep(WRITTEN_AGAIN).await;
+        tokio::time::sleep(REWRITE_DELAY).await;
         let written = self.written.lock().expect("no holder of the keys panics").clone();
         for (key, value) in written {
             match value {
@@ -333,20 +337,20 @@
         }
     }
 
-    /// Removes a key as the platform does.
+    /// Removes a key, as the platform does.
     pub async fn remove(&self, key: &str) {
         let path = format!("/standin/put?key={key}");
         assert_eq!(self.control.request("DELETE", &path, &[], "").await.status, 200);
-        self.wrote(key, None);
+        self.record_write(key, None);
     }
 
-    /// Tells the store's stand-in something.
+    /// Sends a control request to the store's stand-in.
     pub async fn store_control(&self, what: &str) {
         let answer = self.control.request("PUT", &format!("/standin/{what}"), &[], "").await;
         assert_eq!(answer.status, 200);
     }
 
-    /// Writes a configuration whose one team has the keys.
+    /// Writes a configuration with one team, which has the given keys.
     pub async fn configure(&mut self, version: u64, keys: &[&str]) {
         self.version = version;
         let route = |name: &str, kind: &str, service: &str| {
@@ -396,7 +400,7 @@
         )
     }
 
-    /// Starts a gateway, or starts it again.
+    /// Starts a gateway, or restarts it and keeps the log of the replaced process.
     pub fn start_gateway(&mut self, index: u8) {
         let ip = self.gateway_ip(index);
         let name = format!("gateway-{index}");
@@ -419,7 +423,7 @@
         }
     }
 
-    /// Starts a rank's sidecar, or starts it again.
+    /// Starts a rank's sidecar, or restarts it and keeps the log of the replaced process.
     pub fn start_sidecar(&mut self, rank: u8) {
         let (ip, own) = (self.rank_ip(rank), self.sidecar_ip(rank));
         let name = format!("sidecar-{rank}");
@@ -441,13 +445,13 @@
         }
     }
 
-    /// Whether a gateway calls itself ready.
+    /// Returns whether a gateway reports that it is ready.
     pub async fn is_ready(&self, index: u8) -> bool {
         let address = (self.gateway_ip(index), READY_PORT).into();
         caller::Caller::new(address, "").request("GET", "/v1/readyz", &[], "").await.status == 200
     }
 
-    /// Waits until a gateway is ready and knows all backend servers.
+    /// Waits until a gateway is ready and serves a request.
     pub async fn wait_ready(&self, index: u8) {
         let what = format!("gateway {index} serves");
         until(&what, || async {
@@ -457,7 +461,7 @@
         .await;
     }
 
-    /// Metrics of a gateway.
+    /// Returns the metrics of a gateway.
     pub async fn metrics(&self, index: u8) -> String {
         let address = (self.gateway_ip(index), METRICS_PORT).into();
         caller::Caller::new(address, "").request("GET", "/metrics", &[], "").await.body
@@ -473,41 +477,41 @@
             .await
     }
 
-    /// Connects a client to a gateway that keeps its connection.
+    /// Returns a client with a persistent connection to a gateway.
     pub async fn client(&self, gateway: u8) -> Client {
         let client = Client::connect(self.client_address(gateway)).await;
         client.expect("the gateway listens")
     }
 
-    /// State of the first lock-step group.
+    /// Returns the state of the first lock-step group.
     pub async fn group_state(&self) -> Value {
         self.group_state_of(0).await
     }
 
-    /// State of a lock-step group.
+    /// Returns the state of a lock-step group.
     pub async fn group_state_of(&self, group: u8) -> Value {
         self.group.1.read(&format!("/state?group={group}")).await
     }
 
-    /// Tells the lock-step group something.
+    /// Sends a control request to the stand-in for the lock-step groups.
     pub async fn group_control(&self, what: &str) {
         assert_eq!(self.group.1.request("PUT", what, &[], "").await.status, 200);
     }
 
-    /// Ends of backend servers under requests, oldest first: those of a lock-step
-    /// group, or of the plain servers.
+    /// Returns the ends of backend servers that requests caused, oldest first. They are of a
+    /// lock-step group, or of the plain servers with `None`.
     pub async fn ends(&self, group: Option<u8>) -> Vec<Value> {
         self.rows(group, "/ends").await
     }
 
-    /// Requests that reached the backend servers of a lock-step group, or the
-    /// plain ones.
+    /// Returns the requests that reached the backend servers of a lock-step group, or the plain
+    /// servers with `None`.
     pub async fn received(&self, group: Option<u8>) -> Vec<Value> {
         self.rows(group, "/requests").await
     }
 
-    /// Requests that reached the run that they were meant for, over all servers,
-    /// those that were refused among them.
+    /// Returns the requests that reached the run that they were meant for, over all servers.
+    /// Requests that the server refused are included.
     pub async fn visits(&self) -> Vec<visits::Visit> {
         let mut all = Vec::new();
         for group in (0..self.plan.groups).map(Some).chain([None]) {
@@ -517,7 +521,8 @@
         all
     }
 
-    /// Tells the servers of a lock-step group, or the plain ones, something.
+    /// Sends a control request for the servers of a lock-step group, or the plain servers with
+    /// `None`.
     pub async fn servers_control(&self, group: Option<u8>, what: &str) {
         let control = if group.is_some() { &self.group.1 } else { &self.plain.1 };
         let path = format!("{what}&group={}", group.unwrap_or(0));
@@ -530,8 +535,8 @@
         rows.as_array().cloned().unwrap_or_default()
     }
 
-    /// Waits until a backend server that ended is back, and writes its entry
-    /// with that start, as the platform's backend servers do.
+    /// Waits until a backend server that ended has restarted, and writes the entry of its run
+    /// `born`, as the platform's backend servers do.
     pub async fn wait_restarted(&self, id: &str, born: u64) {
         let number = id.rsplit('-').next().and_then(|text| text.parse().ok());
         let number: u8 = number.expect("an id ends with a number");
@@ -539,7 +544,7 @@
             true => (MODEL, SocketAddr::from((self.rank_ip(number), SERVER_PORT))),
             false => (SMS, self.plain_address(number)),
         };
-        until("the server is back", || async {
+        until("the server has restarted", || async {
             let mut ends = self.ends(None).await;
             for group in 0..self.plan.groups {
                 ends.extend(self.ends(Some(group)).await);
@@ -550,10 +555,10 @@
         self.put_entry_of_run(id, service, address, born).await;
     }
 
-    /// Has the servers of a lock-step group, or the plain ones, that ended since
-    /// the last call start again, and waits until all gateways serve; `seen`
-    /// counts the ends of before.
-    pub async fn restart_ended(&self, group: Option<u8>, seen: &mut usize) {
+    /// Waits until the servers that ended since the last call have restarted, writes their
+    /// entries, and waits until all gateways serve. The servers are of a lock-step group, or the
+    /// plain servers with `None`. `seen` is the number of ends that earlier calls handled.
+    pub async fn recover_servers(&self, group: Option<u8>, seen: &mut usize) {
         let ends = self.ends(group).await;
         for end in &ends[*seen..] {
             *seen += 1;
@@ -570,14 +575,14 @@
         }
     }
 
-    /// Requests with that id that reached backend servers, over all of them.
+    /// Returns the requests with an id that reached backend servers, over all servers.
     pub async fn arrivals(&self, id: &str) -> Vec<Value> {
         let mut all = self.all_arrivals().await;
         all.retain(|request| request["headers"]["x-attempt-id"] == id);
         all
     }
 
-    /// Requests that reached backend servers, over all of them.
+    /// Returns the requests that reached backend servers, over all servers.
     pub async fn all_arrivals(&self) -> Vec<Value> {
         let mut all = Vec::new();
         for group in (0..self.plan.groups).map(Some).chain([None]) {
@@ -587,21 +592,23 @@
     }
 }
 
-type Listed = Vec<(String, SocketAddr)>;
+type Addresses = Vec<(String, SocketAddr)>;
 
-fn servers(net: [u8; 2], first: u8, count: u8, name: &str) -> Listed {
-    let address = |index| (Ipv4Addr::new(127, net[0], net[1], first + index), SERVER_PORT).into();
+fn servers(subnet: [u8; 2], first: u8, count: u8, name: &str) -> Addresses {
+    let address =
+        |index| (Ipv4Addr::new(127, subnet[0], subnet[1], first + index), SERVER_PORT).into();
     (0..count).map(|index| (format!("{name}-{index}"), address(index))).collect()
 }
 
-/// Address that a server listens on: another one if the proxy listens on its own.
+/// Returns the address that a server listens on. It differs from the listed one if the proxy
+/// listens there.
 fn real_address(address: SocketAddr, proxied: bool) -> SocketAddr {
     SocketAddr::new(address.ip(), address.port() + u16::from(proxied))
 }
 
-/// Starts backend servers, as lock-step groups where a number of these is given.
-async fn servers_of(
-    servers: &Listed,
+/// Starts the stand-in for backend servers, which form lock-step groups if `groups` is given.
+async fn start_servers(
+    servers: &Addresses,
     groups: Option<u8>,
     proxied: bool,
 ) -> (process::Process, caller::Caller) {
@@ -617,11 +624,11 @@
     (group, caller::Caller::new(control, ""))
 }
 
-/// Longest time that anything may take that the users bound by two seconds, on
-/// a machine that is busy with other things as well.
+/// Maximum duration in tests of an operation that users expect within two seconds. It is longer
+/// because the machine may be busy with other work.
 pub const BOUND: Duration = Duration::from_secs(10);
 
-/// An entry of a backend server, as the platform's backend servers write it.
+/// Returns the entry of a backend server, as the platform's backend servers write it.
 fn entry(service: &str, address: SocketAddr, state: &str) -> Value {
     json!({
         "service": service, "address": address, "zone": "norte", "version": "v1",
--- a/tests/tests/poison.rs
+++ b/tests/tests/poison.rs
@@ -46,7 +46,7 @@
     for gateway in (0..system.plan.gateways).cycle().take(TRIES) {
         let request = request(ranks).body(BODY).with("x-standin-end-ms", "50");
         system.request(gateway, &request).await;
-        system.restart_ended(group(ranks), &mut seen).await;
+        system.recover_servers(group(ranks), &mut seen).await;
     }
     let ends = system.ends(group(ranks)).await;
     let third = ends.get(2).map_or(u64::MAX, |end| end["arrivals"].as_u64().unwrap());
@@ -111,7 +111,7 @@
         let others = futures_util::future::join_all((0..9).map(|number| other(number, "60")));
         let guilty = request(false).body(BODY).with("x-standin-end-ms", "30");
         tokio::join!(others, system.request(round, &guilty));
-        system.restart_ended(group(false), &mut seen).await;
+        system.recover_servers(group(false), &mut seen).await;
         for number in 0..9 {
             assert_eq!(other(number, "0").await, 200, "round {round}, other {number}");
         }
@@ -131,11 +131,11 @@
         async move { system.request(gateway, &request).await.status }
     };
     assert_eq!(guilty(0).await, 502);
-    system.restart_ended(group(false), &mut seen).await;
+    system.recover_servers(group(false), &mut seen).await;
     let failed = receipt().with("x-standin-status", "500");
     assert_eq!(system.request(1, &failed).await.status, 500);
     assert_eq!(guilty(2).await, 502);
-    system.restart_ended(group(false), &mut seen).await;
+    system.recover_servers(group(false), &mut seen).await;
     guilty(0).await;
     assert_eq!(system.ends(None).await.len(), 2);
 }
@@ -149,7 +149,7 @@
     for gateway in 0..PLAN.gateways {
         let request = request(true).body(BODY).with("x-standin-linger-ms", "40");
         system.request(gateway, &request.with("x-standin-end-ms", "50")).await;
-        system.restart_ended(group(true), &mut seen).await;
+        system.recover_servers(group(true), &mut seen).await;
     }
     assert_eq!(seen, 2, "servers that ended");
 }
--- a/tests/tests/suspects.rs
+++ b/tests/tests/suspects.rs
@@ -46,7 +46,7 @@
         let proper = (0..PROPER).map(|caller| ask(&system, caller, round, false));
         let (_, proper) = tokio::join!(future::join_all(guilty), future::join_all(proper));
         refused.extend(proper.into_iter().flatten());
-        system.restart_ended(None, &mut seen).await;
+        system.recover_servers(None, &mut seen).await;
     }
     assert_eq!(refused, BTreeSet::new(), "of {PROPER}, with {seen} servers ended");
 }
@@ -67,7 +67,7 @@
         |round| future::join_all((0..PROPER).map(move |caller| ask(system, caller, round, false)));
     let (_, cut) = tokio::join!(ask(system, PROPER, 0, true), proper(0));
     refused.extend(cut.into_iter().flatten());
-    system.restart_ended(None, &mut seen).await;
+    system.recover_servers(None, &mut seen).await;
     let new = async {
         tokio::time::sleep(LATER).await;
         let asks = (1..=PLAN.gateways).map(|number| ask(system, PROPER + number, 1, true));
@@ -75,7 +75,7 @@
     };
     let ((), cut) = tokio::join!(new, proper(1));
     refused.extend(cut.into_iter().flatten());
-    system.restart_ended(None, &mut seen).await;
+    system.recover_servers(None, &mut seen).await;
     for round in 2..2 + LATER_ROUNDS {
         refused.extend(proper(round).await.into_iter().flatten());
     }
