--- a/tests/src/cluster.rs
+++ b/tests/src/cluster.rs
@@ -1,4 +1,9 @@
-//! A deployment of real processes.
+//! A deployment of entry hosts, agents, backend servers and the platform's stand-in.
+//!
+//! All processes run on loopback. Processes of the deployment connect to each other and to the
+//! platform through the fault-injecting proxy.
+//!
+//! The *home* of an idempotency key is the agent that grants the key once.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,33 +13,33 @@
 
 use crate::{caller, process, until, until_ok};
 
-/// Token of every team.
+/// Token of the only team.
 pub const TOKEN: &str = "token-of-the-clinic";
-/// Service whose calls may not be repeated.
+/// Service whose calls must not be repeated.
 pub const SERVICE: &str = "gateway-sms";
-/// Model, served by one group in each availability zone.
+/// Model, which is served by one group in each availability zone.
 pub const MODEL: &str = "modelo-loftcove";
 
-/// What is started.
+/// Numbers and settings of the processes to start.
 #[derive(Debug, Clone)]
 pub struct Plan {
     /// Availability zones.
     pub zones: Vec<&'static str>,
-    /// Entry hosts of each.
+    /// Number of entry hosts in each zone.
     pub entries: usize,
-    /// Ranks of the group of each; 0 for no group.
+    /// Number of ranks of the group in each zone, or 0 for no group.
     pub ranks: u32,
-    /// Servers of the plain service of each.
+    /// Number of servers of the plain service in each zone.
     pub services: usize,
     /// Time between two steps of a group, microseconds.
     pub step_us: u64,
-    /// Lines for the section `[homes]`.
+    /// Lines of the section `[homes]`.
     pub homes: &'static str,
-    /// Slots of each backend server.
+    /// Number of slots of each backend server.
     pub slots: u32,
     /// Time between two placement decisions, seconds.
     pub rebalance_s: u64,
-    /// Threads of each process of loftcove.
+    /// Number of worker threads of each `loftcoved` process.
     pub workers: usize,
 }
 
@@ -54,21 +59,21 @@
     }
 }
 
-/// One process of the system, with what it takes to start it again.
+/// An entry host or agent, with the settings that a restart needs.
 pub struct Member {
     /// Id of the host.
     pub host: String,
     /// Availability zone.
     pub zone: String,
-    /// The process.
+    /// Running process.
     pub process: process::Process,
-    /// Its own address for peers.
+    /// Address that the process listens on for peers.
     pub peer_address: SocketAddr,
-    /// Its address in the host list, at the proxy.
+    /// Address of the proxy for this process, which the host list contains.
     pub proxy_address: SocketAddr,
-    /// Address for callers, of an entry host.
+    /// Address for callers, if this is an entry host.
     pub http_address: Option<SocketAddr>,
-    /// Backend, rank and address of the backend server, of an agent.
+    /// Backend server, if this is an agent.
     pub server: Option<Server>,
     settings: String,
     leaving: bool,
@@ -77,42 +82,41 @@
 /// A backend server.
 #[derive(Debug, Clone)]
 pub struct Server {
-    /// Service or group.
+    /// Service or group that the server belongs to.
     pub backend: String,
-    /// Rank in the group.
+    /// Rank in the group, if it belongs to a group.
     pub rank: Option<u32>,
-    /// Its own address.
+    /// Address that the server listens on.
     pub address: SocketAddr,
 }
 
-/// The deployment.
+/// A running deployment.
 pub struct Cluster {
-    /// What was started.
+    /// Plan that the deployment was started from.
     pub plan: Plan,
-    /// The stand-in for the platform.
+    /// Stand-in for the platform.
     pub platform: process::Process,
-    /// Its own address, past the proxy.
+    /// Address that the platform's stand-in listens on, which bypasses the proxy.
     pub platform_address: SocketAddr,
-    /// The fault-injecting proxy.
+    /// Fault-injecting proxy.
     pub proxy: process::Process,
     /// Entry hosts and agents, by host.
     pub members: BTreeMap<String, Member>,
     /// Backend servers, by name.
     pub servers: BTreeMap<String, process::Process>,
-    /// Settings and keys.
+    /// Folder of the settings and key files.
     pub folder: process::Folder,
-    /// Shared key of the deployment. Each deployment has its own, so that the
-    /// processes of one that was left behind are not listened to by another
-    /// that got their ports.
+    /// Shared key of the deployment. The key is unique, because processes left over from another
+    /// deployment may connect to ports that this one has reused; they are rejected.
     pub key: String,
-    platform_listed: SocketAddr,
+    platform_proxy_address: SocketAddr,
     operators: String,
 }
 
-/// Operators whose keys the settings hold.
+/// Operators whose keys the settings contain.
 const OPERATORS: [&str; 3] = ["ana", "bruno", "carla"];
 
-/// Group of a zone.
+/// Returns the name of the group in a zone.
 pub fn group(zone: &str) -> String {
     format!("modelo-{zone}")
 }
@@ -122,9 +126,9 @@
 }
 
 impl Cluster {
-    /// Starts everything and puts the first bundle in force.
+    /// Starts all processes, applies the first bundle and waits until the deployment is ready.
     pub async fn start(plan: Plan) -> Cluster {
-        let mut cluster = Cluster::bare(plan).await;
+        let mut cluster = Cluster::start_infrastructure(plan).await;
         cluster.start_members().await;
         cluster.publish_hosts().await;
         let digest = cluster.propose("ana", "bundle.toml", &cluster.bundle("")).await;
@@ -135,7 +139,7 @@
         cluster
     }
 
-    async fn bare(plan: Plan) -> Cluster {
+    async fn start_infrastructure(plan: Plan) -> Cluster {
         let mut platform = process::Process::start("standin-platform", &[]);
         let platform_address = platform.read_address().await;
         let mut proxy = process::Process::start("fault-proxy", &[]);
@@ -149,7 +153,8 @@
             let made = process::run("loftcove", &["key", "new", &folder.path(name)]).await;
             operators.push_str(&format!("{name} = \"{}\"\n", made.stdout.trim()));
         }
-        let listed = target(&mut proxy, "platform", "platform", platform_address).await;
+        let proxy_address =
+            add_proxy_target(&mut proxy, "platform", "platform", platform_address).await;
         let cluster = Cluster {
             plan,
             platform,
@@ -159,7 +164,7 @@
             servers: BTreeMap::new(),
             folder,
             key: format!("key-of-the-deployment-{}", uuid::Uuid::now_v7()),
-            platform_listed: listed,
+            platform_proxy_address: proxy_address,
             operators,
         };
         for name in OPERATORS {
@@ -216,21 +221,22 @@
         self.start_agent(zone, &format!("{name}-host"), server).await;
     }
 
-    fn common(&self, role: &str, zone: &str, host: &str, peer: &str) -> String {
+    fn common_settings(&self, role: &str, zone: &str, host: &str, peer: &str) -> String {
         let index = self.plan.zones.iter().position(|known| *known == zone).unwrap_or(0);
         let seeds: Vec<String> =
             self.members.values().map(|member| format!("\"{}\"", member.proxy_address)).collect();
         format!(
             "[process]\nrole = \"{role}\"\nhost = \"{host}\"\nzone = \"{zone}\"\n\
              deployment = \"vale\"\npeer_address = \"{peer}\"\nkey = \"{}\"\n\
-             source_address = \"{}\"\nexchange_ms = 200\ndrain_ms = 20000\nseeds = [{}]\nworkers = {}\n\
+             source_address = \"{}\"\nexchange_ms = 200\ndrain_ms = 20000\nseeds = [{}]\n\
+             workers = {}\n\
              [platform]\naddress = \"{}\"\ntimeout_ms = 1000\n\
              [operators]\n{}\n[homes]\n{}\n",
             self.key,
             source_address(index),
             seeds.join(", "),
             self.plan.workers,
-            self.platform_listed,
+            self.platform_proxy_address,
             self.operators,
             self.plan.homes
         )
@@ -242,7 +248,7 @@
             "[agent]\nbackend = \"{}\"\n{rank}server_address = \"{}\"\nslots = {}\npoll_ms = 100\n",
             server.backend, server.address, self.plan.slots
         );
-        let settings = self.common("agent", zone, host, "127.0.0.1:0") + &section;
+        let settings = self.common_settings("agent", zone, host, "127.0.0.1:0") + &section;
         self.start_member(zone, host, settings, Some(server)).await;
     }
 
@@ -251,7 +257,7 @@
             "[entry]\nhttp_address = \"127.0.0.1:0\"\nrebalance_s = {}\n",
             self.plan.rebalance_s
         );
-        let settings = self.common("entry", zone, host, "127.0.0.1:0") + &section;
+        let settings = self.common_settings("entry", zone, host, "127.0.0.1:0") + &section;
         self.start_member(zone, host, settings, None).await;
     }
 
@@ -267,7 +273,7 @@
         let peer = process.read_address().await;
         let entry = server.is_none();
         let http = if entry { Some(process.read_address().await) } else { None };
-        let listed = target(&mut self.proxy, host, zone, peer).await;
+        let proxy_address = add_proxy_target(&mut self.proxy, host, zone, peer).await;
         let mut settings = settings
             .replace("peer_address = \"127.0.0.1:0\"", &format!("peer_address = \"{peer}\""));
         if let Some(http) = http {
@@ -279,7 +285,7 @@
             zone: zone.to_owned(),
             process,
             peer_address: peer,
-            proxy_address: listed,
+            proxy_address,
             http_address: http,
             server,
             settings,
@@ -288,7 +294,7 @@
         self.members.insert(host.to_owned(), member);
     }
 
-    /// Starts a member's process again, at the same addresses.
+    /// Restarts a member's process at the same addresses. The old process must have exited.
     pub async fn restart(&mut self, host: &str) {
         let member = self.members.get_mut(host).expect("the member exists");
         let file = self.folder.write(&format!("{host}.toml"), &member.settings);
@@ -301,14 +307,14 @@
 
     /// Sets the platform's host list to the members.
     pub async fn publish_hosts(&mut self) {
-        let hosts: Vec<serde_json::Value> = self.members.values().map(listing).collect();
+        let hosts: Vec<serde_json::Value> = self.members.values().map(host_entry).collect();
         let control = caller::Caller::new(self.platform_address, "");
         let body = serde_json::Value::Array(hosts).to_string();
         let answer = control.request("PUT", "/standin/hosts", &[], &body).await;
         assert_eq!(answer.status, 200);
     }
 
-    /// Has the host list say that a host is leaving, or not.
+    /// Sets whether the host list marks a host as leaving.
     pub async fn set_leaving(&mut self, host: &str, leaving: bool) {
         self.members.get_mut(host).expect("the member exists").leaving = leaving;
         self.publish_hosts().await;
@@ -321,18 +327,18 @@
         assert_eq!(answer.status, 200);
     }
 
-    /// Calls that the platform has counted.
+    /// Returns the number of calls that the platform has counted.
     pub async fn platform_calls(&self) -> u64 {
         let control = caller::Caller::new(self.platform_address, "");
         control.request("GET", "/standin/calls", &[], "").await.body.parse().unwrap_or(0)
     }
 
-    /// Sets the fault of connections from a zone to a host or zone.
+    /// Sets the fault of connections from a zone to a host or a zone.
     pub async fn link(&mut self, from: &str, to: &str, fault: &str) {
         assert_eq!(self.proxy.send_command(&format!("link {from} {to} {fault}")).await, "set");
     }
 
-    /// Cuts a zone off from the other zones, both ways, or joins it again.
+    /// Sets the fault of connections between a zone and all other zones, in both directions.
     pub async fn isolate(&mut self, zone: &str, fault: &str) {
         for other in self.plan.zones.clone() {
             if other != zone {
@@ -342,7 +348,8 @@
         }
     }
 
-    /// The table of homes as the platform has it; empty where there is none.
+    /// Returns the table of homes that the platform has stored, or an empty string if there is
+    /// none.
     pub async fn platform_homes(&self) -> String {
         let control = caller::Caller::new(self.platform_address, "");
         let page = control.read("/v1/kv-range?path_prefix=loftcove/vale/homes").await;
@@ -351,7 +358,7 @@
         String::from_utf8_lossy(&bytes).into_owned()
     }
 
-    /// Text of a bundle with some lines added.
+    /// Returns the text of a bundle with additional lines.
     pub fn bundle(&self, extra: &str) -> String {
         let hash = hex::encode(sha2::Sha256::digest(TOKEN.as_bytes()));
         let groups: Vec<String> =
@@ -361,15 +368,17 @@
              [[model]]\nname = \"{MODEL}\"\nversion = \"1\"\nadapters = [\"lembretes\"]\n\
              groups = [{}]\nlayers = 4\nexperts = 8\nclass = \"draft\"\n\
              [[service]]\nname = \"{SERVICE}\"\nclass = \"urgent\"\n\
-             [[class]]\nname = \"urgent\"\nprecedence = 0\nrepeatable = false\ndeadline_ms = 60000\n\
-             [[class]]\nname = \"reminder\"\nprecedence = 1\nrepeatable = false\ndeadline_ms = 60000\n\
+             [[class]]\nname = \"urgent\"\nprecedence = 0\nrepeatable = false\n\
+             deadline_ms = 60000\n\
+             [[class]]\nname = \"reminder\"\nprecedence = 1\nrepeatable = false\n\
+             deadline_ms = 60000\n\
              [[class]]\nname = \"draft\"\nprecedence = 2\nrepeatable = true\ndeadline_ms = 60000\n\
              [[team]]\nname = \"clinica\"\ntoken_sha256 = \"{hash}\"\n",
             groups.join(", ")
         )
     }
 
-    /// Runs the tool as an operator.
+    /// Runs the command-line tool as an operator.
     pub async fn tool(&self, operator: &str, arguments: &[&str]) -> process::Output {
         let settings = self.folder.path(&format!("{operator}.toml"));
         let mut all = vec!["--settings", &settings];
@@ -385,33 +394,33 @@
         proposed.stdout.trim().to_owned()
     }
 
-    /// A caller at an entry host.
+    /// Returns a caller of an entry host.
     pub fn caller(&self, host: &str) -> caller::Caller {
         let http = self.members[host].http_address.expect("the member is an entry host");
         caller::Caller::new(http, TOKEN)
     }
 
-    /// A caller past the system at a backend server.
+    /// Returns a caller that connects to an agent's backend server directly.
     pub fn server_caller(&self, host: &str) -> caller::Caller {
         let server = self.members[host].server.as_ref().expect("the member is an agent");
         caller::Caller::new(server.address, "")
     }
 
-    /// Entry hosts.
+    /// Returns the names of the entry hosts.
     pub fn entries(&self) -> Vec<String> {
         let entries = self.members.values().filter(|member| member.http_address.is_some());
         entries.map(|member| member.host.clone()).collect()
     }
 
-    /// Agents of a backend.
+    /// Returns the host names of a backend's agents.
     pub fn agents(&self, backend: &str) -> Vec<String> {
-        let of = |member: &&Member| {
+        let is_agent = |member: &&Member| {
             member.server.as_ref().is_some_and(|server| server.backend == backend)
         };
-        self.members.values().filter(of).map(|member| member.host.clone()).collect()
+        self.members.values().filter(is_agent).map(|member| member.host.clone()).collect()
     }
 
-    /// How often the plain service ran the call under a key, over all servers.
+    /// Returns how often the plain service ran the call under a key, over all servers.
     pub async fn runs(&self, key: &str) -> u64 {
         let mut sum = 0;
         for agent in self.agents(SERVICE) {
@@ -421,7 +430,7 @@
         sum
     }
 
-    /// Status of all processes, by host.
+    /// Returns the status of all processes, by host.
     pub async fn status(&self) -> BTreeMap<String, serde_json::Value> {
         let output = self.tool("ana", &["--json", "status"]).await;
         let all: Vec<serde_json::Value> = serde_json::from_str(&output.stdout).unwrap_or_default();
@@ -430,8 +439,8 @@
             .collect()
     }
 
-    /// Waits until every process serves, every entry host may use every
-    /// server, and the homes of keys can be asked.
+    /// Waits until every process serves, every server is usable at every entry host, and calls
+    /// under keys are answered.
     pub async fn wait_ready(&self) {
         until_ok("all processes serve", || async {
             let status = self.status().await;
@@ -446,7 +455,7 @@
         }
     }
 
-    /// Waits until an entry host answers calls under fresh keys.
+    /// Waits until an entry host answers calls under new keys.
     pub async fn wait_keys_ready(&self, host: &str) {
         if self.plan.services == 0 {
             return;
@@ -479,7 +488,7 @@
     format!("127.0.{}.1", zone + 10)
 }
 
-async fn target(
+async fn add_proxy_target(
     proxy: &mut process::Process,
     label: &str,
     zone: &str,
@@ -487,10 +496,10 @@
 ) -> SocketAddr {
     let answer = proxy.send_command(&format!("target {label} {zone} {address}")).await;
     let last = answer.split_whitespace().last().unwrap_or_default();
-    last.parse().unwrap_or_else(|_| panic!("the proxy said `{answer}`"))
+    last.parse().unwrap_or_else(|_| panic!("the proxy printed no address: `{answer}`"))
 }
 
-fn listing(member: &Member) -> serde_json::Value {
+fn host_entry(member: &Member) -> serde_json::Value {
     let (role, backend, rank) = match &member.server {
         None => ("entry", "", None),
         Some(server) => ("agent", &*server.backend, server.rank),
