--- a/tests/src/caller.rs
+++ b/tests/src/caller.rs
@@ -1,4 +1,4 @@
-//! Asks as a caller would.
+//! HTTP callers of entry hosts, backend servers and control interfaces.
 
 use std::net::SocketAddr;
 
@@ -8,7 +8,7 @@
 use hyper_util::client::legacy;
 use hyper_util::rt::TokioExecutor;
 
-/// A caller with a team's token.
+/// A caller of one address, with a team's token or without one.
 #[derive(Clone)]
 pub struct Caller {
     http: legacy::Client<legacy::connect::HttpConnector, Full<Bytes>>,
@@ -16,16 +16,16 @@
     token: String,
 }
 
-/// What came back.
+/// The answer to a request.
 #[derive(Debug)]
 pub struct Answer {
-    /// HTTP status; 0 where there was no answer at all.
+    /// HTTP status, or 0 if there was no answer.
     pub status: u16,
     /// Headers.
     pub headers: http::HeaderMap,
-    /// Body, as far as it came.
+    /// Part of the body that was received.
     pub body: String,
-    /// Whether the body ended as it must.
+    /// Whether the body was received to its end.
     pub complete: bool,
     /// Trailers.
     pub trailers: http::HeaderMap,
@@ -37,12 +37,13 @@
         Answer { status: 0, headers, body: String::new(), complete: false, trailers }
     }
 
-    /// The outcome, from the header, the trailer or the last comment; empty where none is told.
+    /// Returns the outcome from the header, the trailer or the last comment of the event stream,
+    /// or an empty string if the answer has none.
     pub fn outcome(&self) -> String {
         const NAME: &str = "loftcove-outcome";
-        let told = self.headers.get(NAME).or(self.trailers.get(NAME));
+        let value = self.headers.get(NAME).or(self.trailers.get(NAME));
         let comment = self.body.rsplit(": loftcove-outcome ").next();
-        match told.and_then(|value| value.to_str().ok()) {
+        match value.and_then(|value| value.to_str().ok()) {
             Some(word) => word.to_owned(),
             None if self.body.contains(": loftcove-outcome ") => {
                 comment.unwrap_or_default().trim().to_owned()
@@ -51,25 +52,25 @@
         }
     }
 
-    /// Type of a refusal; empty for another answer.
+    /// Returns the error type of a rejection, or an empty string for any other answer.
     pub fn kind(&self) -> String {
         let json: serde_json::Value = serde_json::from_str(&self.body).unwrap_or_default();
         json["error"]["type"].as_str().unwrap_or_default().to_owned()
     }
 
-    /// Id of the request.
+    /// Returns the id of the request, or an empty string if the answer has none.
     pub fn request_id(&self) -> String {
         let id = self.headers.get("loftcove-request-id");
         id.and_then(|value| value.to_str().ok()).unwrap_or_default().to_owned()
     }
 
-    /// Tokens of a streamed answer.
+    /// Returns the number of tokens in a streamed answer.
     pub fn tokens(&self) -> usize {
         self.body.matches("\"content\":\"t").count()
     }
 }
 
-/// Body of a chat request.
+/// Returns the body of a chat request.
 pub fn prompt(model: &str, stream: bool, tokens: u64) -> String {
     serde_json::json!({
         "model": model,
@@ -81,19 +82,21 @@
 }
 
 impl Caller {
-    /// A caller at an entry host.
+    /// Creates a caller of an address. Requests have no `authorization` header if `token` is
+    /// empty.
     pub fn new(address: SocketAddr, token: &str) -> Caller {
         let http = legacy::Client::builder(TokioExecutor::new()).build_http();
         Caller { http, address, token: token.to_owned() }
     }
 
-    /// The same caller over HTTP/2.
+    /// Returns the same caller over HTTP/2.
     pub fn over_http2(&self) -> Caller {
         let mut builder = legacy::Client::builder(TokioExecutor::new());
         Caller { http: builder.http2_only(true).build_http(), ..self.clone() }
     }
 
-    /// Sends a request and returns the answer whose body is still to come.
+    /// Sends a request and returns the response with its body unread, or `None` if there was no
+    /// response.
     pub async fn open(
         &self,
         method: &str,
@@ -115,7 +118,7 @@
         self.http.request(request).await.ok()
     }
 
-    /// Sends a request and reads the whole answer.
+    /// Sends a request and reads the answer to its end.
     pub async fn request(
         &self,
         method: &str,
@@ -148,19 +151,19 @@
         answer
     }
 
-    /// Asks for a chat.
+    /// Requests a chat completion.
     pub async fn chat(&self, model: &str, stream: bool, tokens: u64) -> Answer {
         self.request("POST", "/v1/chat/completions", &[], &prompt(model, stream, tokens)).await
     }
 
-    /// Asks a plain service under an idempotency key.
+    /// Calls a plain service under an idempotency key.
     pub async fn deliver(&self, service: &str, key: &str, headers: &[(&str, &str)]) -> Answer {
         let mut all = vec![("idempotency-key", key)];
         all.extend_from_slice(headers);
         self.request("POST", &format!("/services/{service}/send"), &all, "{}").await
     }
 
-    /// Reads a path as JSON.
+    /// Returns the JSON document at a path, or null if it cannot be read.
     pub async fn read(&self, path: &str) -> serde_json::Value {
         let answer = self.request("GET", path, &[], "").await;
         serde_json::from_str(&answer.body).unwrap_or_default()
--- a/tests/src/client.rs
+++ b/tests/src/client.rs
@@ -1,4 +1,4 @@
-//! A client that keeps its connection to a gateway.
+//! A client with a persistent connection to a gateway.
 
 use std::net::SocketAddr;
 
@@ -6,27 +6,27 @@
 
 use crate::request::Request;
 
-/// Bytes of a segment, and of the buffer of a client behind a small window: most
-/// of a long answer waits at the sender.
+/// Maximum size of a TCP segment of a client with a small window, in bytes.
 const SEGMENT: u32 = 536;
-/// See [`SEGMENT`].
+/// Size of the receive buffer of a client with a small window, in bytes. Most of a long answer
+/// stays in the sender's buffer.
 const WINDOW: u32 = 4_096;
 
-/// Connects as a client behind a small window.
+/// Connects a client with a small receive window.
 pub async fn connect_with_small_window(address: SocketAddr) -> tokio::net::TcpStream {
     let socket = tokio::net::TcpSocket::new_v4().expect("a socket can be made");
-    socket2::SockRef::from(&socket).set_tcp_mss(SEGMENT).expect("the segments can be small");
-    socket.set_recv_buffer_size(WINDOW).expect("the buffer can be small");
-    socket.connect(address).await.expect("somebody listens")
+    socket2::SockRef::from(&socket).set_tcp_mss(SEGMENT).expect("the segment size can be set");
+    socket.set_recv_buffer_size(WINDOW).expect("the buffer size can be set");
+    socket.connect(address).await.expect("the gateway listens")
 }
 
-/// A client that keeps its connection.
+/// A client that reuses one HTTP/1 connection.
 pub struct Client {
     sender: hyper::client::conn::http1::SendRequest<Full<bytes::Bytes>>,
 }
 
 impl Client {
-    /// Connects to a gateway, if it listens.
+    /// Connects to a gateway, or returns `None` if the connection fails.
     pub async fn connect(address: SocketAddr) -> Option<Client> {
         let stream = tokio::net::TcpStream::connect(address).await.ok()?;
         let io = hyper_util::rt::TokioIo::new(stream);
@@ -38,8 +38,8 @@
         Some(Client { sender })
     }
 
-    /// Sends a request; returns the answer whose body is still to come, or
-    /// `None` where the connection ended.
+    /// Sends a request and returns the response with its body unread, or `None` if the
+    /// connection ended.
     pub async fn send(
         &mut self,
         request: &Request,
@@ -54,7 +54,7 @@
     }
 }
 
-/// Reads a body to its end; the second is whether it was whole.
+/// Reads a body. Returns the text received and whether the body was complete.
 pub async fn read(response: http::Response<hyper::body::Incoming>) -> (String, bool) {
     let mut body = response.into_body();
     let mut text = String::new();
--- a/tests/src/process.rs
+++ b/tests/src/process.rs
@@ -1,4 +1,4 @@
-//! One program under test.
+//! Child processes under test, with their logs and settings files.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -9,20 +9,21 @@
 use tokio::io::{AsyncBufReadExt as _, AsyncWriteExt as _, BufReader, Lines};
 use tokio::process::{ChildStdin, ChildStdout, Command};
 
-/// Length of a tick of the system's accounting, and size of a page.
+/// Length of a clock tick in `/proc/PID/stat`, in milliseconds.
 const TICK_MS: u64 = 10;
+/// Size of a memory page, in bytes.
 const PAGE: u64 = 4_096;
 
-/// What a program uses.
+/// Resources that a process uses.
 #[derive(Debug, Clone, Copy)]
 pub struct Usage {
-    /// Processor time since its start.
+    /// Processor time since the start of the process.
     pub cpu: Duration,
-    /// Memory in use, bytes.
+    /// Resident memory, in bytes.
     pub memory: u64,
 }
 
-/// Lines that a program has logged so far; it outlives the program.
+/// Lines that a process has logged so far. The log outlives the process.
 #[derive(Debug, Clone, Default)]
 pub struct Log(Arc<Mutex<Vec<String>>>);
 
@@ -31,13 +32,13 @@
         self.0.lock().expect("no holder of the log panics").push(line);
     }
 
-    /// The lines.
+    /// Returns the lines logged so far.
     pub fn lines(&self) -> Vec<String> {
         self.0.lock().expect("no holder of the log panics").clone()
     }
 }
 
-/// A running program; it is killed when dropped.
+/// A child process, which is killed when dropped.
 pub struct Process {
     child: tokio::process::Child,
     stdin: ChildStdin,
@@ -45,15 +46,19 @@
     log: Log,
 }
 
-/// Path of a program of this workspace, beside the running test or program.
+/// Returns the path of a program of this workspace, which was built with the running one.
+///
+/// # Panics
+///
+/// If the program is not built.
 pub fn program(name: &str) -> PathBuf {
-    let own = std::env::current_exe().expect("the running program has a path");
-    let folder = own.ancestors().find(|folder| folder.join(name).is_file());
+    let current = std::env::current_exe().expect("the running program has a path");
+    let folder = current.ancestors().find(|folder| folder.join(name).is_file());
     folder.unwrap_or_else(|| panic!("{name} is not built: run scripts/test.sh")).join(name)
 }
 
 impl Process {
-    /// Starts a program and keeps what it logs.
+    /// Starts a program and collects the lines of its standard error in its log.
     pub fn start(name: &str, arguments: &[String]) -> Process {
         let mut child = Command::new(program(name))
             .args(arguments)
@@ -65,7 +70,7 @@
             .expect("the program starts");
         let log = Log::default();
         let stderr = child.stderr.take().expect("standard error is piped");
-        let kept = log.clone();
+        let log_writer = log.clone();
         let name = name.to_owned();
         tokio::spawn(async move {
             let mut lines = BufReader::new(stderr).lines();
@@ -74,7 +79,7 @@
                 if panicked || std::env::var_os("LOFTCOVE_LOG").is_some() {
                     eprintln!("[{name}] {line}");
                 }
-                kept.push(line);
+                log_writer.push(line);
             }
         });
         let stdin = child.stdin.take().expect("standard input is piped");
@@ -82,64 +87,65 @@
         Process { child, stdin, stdout: Some(BufReader::new(stdout).lines()), log }
     }
 
-    /// Reads the next line, `listening [WHAT] ADDRESS`.
+    /// Reads the next line of standard output, `listening [WHAT] ADDRESS`, and returns the
+    /// address.
     pub async fn read_address(&mut self) -> SocketAddr {
         let line = self.read_line().await;
         let last = line.split_whitespace().last().unwrap_or_default();
         last.parse().unwrap_or_else(|_| panic!("no address in `{line}`: {:?}", self.log()))
     }
 
-    /// Reads the next line.
+    /// Reads the next line of standard output.
     pub async fn read_line(&mut self) -> String {
-        let stdout = self.stdout.as_mut().expect("its output is read line by line");
+        let stdout = self.stdout.as_mut().expect("standard output is not read by the log");
         let line = stdout.next_line().await.expect("standard output can be read");
         line.unwrap_or_else(|| panic!("the program ended: {:?}", self.log()))
     }
 
-    /// Keeps what it writes to its standard output from now on with its log.
+    /// Collects further lines of standard output in the log. No line can be read afterwards.
     pub fn log_output(&mut self) {
         let Some(mut lines) = self.stdout.take() else { return };
-        let kept = self.log.clone();
+        let log_writer = self.log.clone();
         tokio::spawn(async move {
             while let Ok(Some(line)) = lines.next_line().await {
                 if std::env::var_os("LOFTCOVE_LOG").is_some() {
                     eprintln!("{line}");
                 }
-                kept.push(line);
+                log_writer.push(line);
             }
         });
     }
 
-    /// Its id in the system.
+    /// Returns the process id.
     pub fn id(&self) -> u32 {
         self.child.id().expect("the program runs")
     }
 
-    /// Sends a line and reads the answer.
+    /// Writes a line to standard input and returns the next line of standard output.
     pub async fn send_command(&mut self, line: &str) -> String {
         let text = format!("{line}\n");
         self.stdin.write_all(text.as_bytes()).await.expect("the program reads its input");
         self.read_line().await
     }
 
-    /// What it has logged.
+    /// Returns the lines logged so far.
     pub fn log(&self) -> Vec<String> {
         self.log.lines()
     }
 
-    /// A handle to its log.
+    /// Returns a handle to the log.
     pub fn log_handle(&self) -> Log {
         self.log.clone()
     }
 
-    /// Processor time that it has used, and its memory in use, bytes.
+    /// Returns the resources that the process uses.
     pub fn usage(&self) -> Usage {
         let id = self.child.id().expect("the program runs");
         let read = |name: &str| {
-            std::fs::read_to_string(format!("/proc/{id}/{name}")).expect("the system tells")
+            std::fs::read_to_string(format!("/proc/{id}/{name}")).expect("/proc can be read")
         };
         let stat = read("stat");
-        // The name of the program, in brackets, may hold spaces.
+        // The name of the program is in parentheses and may contain spaces.
         let fields: Vec<&str> =
             stat.rsplit(')').next().unwrap_or_default().split_whitespace().collect();
         let ticks: u64 = fields[11..13].iter().filter_map(|field| field.parse::<u64>().ok()).sum();
@@ -151,49 +157,50 @@
         Usage { cpu: Duration::from_millis(ticks * TICK_MS), memory: pages * PAGE }
     }
 
-    /// Sends a signal.
+    /// Sends a signal, unless the process has been waited for.
     pub fn signal(&self, signal: i32) {
         let Some(id) = self.child.id() else { return };
         #[allow(unsafe_code, reason = "the system call has no safe form in the library")]
-        // SAFETY: the id is of a child that was started here and not waited for yet.
+        // SAFETY: the id is of a child process that was not waited for yet, so that the system
+        // has not reused it.
         let sent = unsafe { libc::kill(id as i32, signal) };
         assert_eq!(sent, 0, "the signal is sent");
     }
 
-    /// Whether it has ended.
+    /// Returns whether the process has exited.
     pub fn has_exited(&mut self) -> bool {
         self.child.try_wait().expect("the program can be waited for").is_some()
     }
 
-    /// Number of the signal that ended it, if one did.
+    /// Returns the number of the signal that terminated the process, if one did.
     pub fn exit_signal(&mut self) -> Option<i32> {
         let status = self.child.try_wait().expect("the program can be waited for")?;
         std::os::unix::process::ExitStatusExt::signal(&status)
     }
 
-    /// Kills it and waits for its end.
+    /// Kills the process and waits until it has exited.
     pub async fn kill(&mut self) {
         self.child.kill().await.expect("the program can be killed");
     }
 
-    /// Waits for its end; returns whether it ended well.
+    /// Waits until the process exits and returns whether it succeeded.
     pub async fn wait(&mut self) -> bool {
         self.child.wait().await.expect("the program can be waited for").success()
     }
 }
 
-/// What a program that ended said.
+/// Result of a program that has exited.
 #[derive(Debug)]
 pub struct Output {
-    /// Whether it ended well.
+    /// Whether the exit status is a success.
     pub success: bool,
-    /// Its standard output.
+    /// Text of standard output.
     pub stdout: String,
-    /// Its standard error.
+    /// Text of standard error.
     pub stderr: String,
 }
 
-/// Runs a program to its end.
+/// Runs a program until it exits.
 pub async fn run(name: &str, arguments: &[&str]) -> Output {
     let output = Command::new(program(name)).args(arguments).output().await;
     let output = output.expect("the program starts");
@@ -204,25 +211,25 @@
     }
 }
 
-/// A folder for settings; removed when dropped.
+/// A temporary folder for settings, which is removed when dropped.
 pub struct Folder(PathBuf);
 
 impl Folder {
-    /// Makes a new one.
+    /// Creates a folder with a unique name.
     pub fn new() -> Folder {
         let path = std::env::temp_dir().join(format!("loftcove-{}", uuid::Uuid::now_v7()));
         std::fs::create_dir_all(&path).expect("a folder can be made");
         Folder(path)
     }
 
-    /// Writes a file in it and returns its path.
+    /// Writes a file in the folder and returns its path.
     pub fn write(&self, name: &str, text: &str) -> String {
         let path = self.path(name);
         std::fs::write(&path, text).expect("a file can be written");
         path
     }
 
-    /// Path of a file in it.
+    /// Returns the path of a file in the folder.
     pub fn path(&self, name: &str) -> String {
         Path::new(&self.0).join(name).to_string_lossy().into_owned()
     }
