--- a/tests/src/failure.rs
+++ b/tests/src/failure.rs
@@ -1,33 +1,33 @@
-//! Keeps what is known of a run that failed.
+//! Saves the logs and other files of a failed test run.
 
 use std::path::{Path, PathBuf};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Folder of kept runs, below the folder of built programs.
+/// Folder of saved runs, below the folder of built programs.
 const FOLDER: &str = "failures";
 
-/// Writes the logs, by the names of their processes, and other files of a failed run to a
-/// folder of its own, and returns that.
+/// Writes the logs of a failed run, by process name, and other files to a new folder, and returns
+/// its path.
 ///
 /// # Errors
 ///
-/// What the system said.
+/// If the folder or a file cannot be written.
 pub fn save(logs: &[(String, Vec<String>)], files: &[(&str, String)]) -> std::io::Result<PathBuf> {
-    let own = std::env::current_exe()?;
+    let current = std::env::current_exe()?;
     let built =
-        own.ancestors().find(|folder| folder.ends_with("debug") || folder.ends_with("release"));
+        current.ancestors().find(|folder| folder.ends_with("debug") || folder.ends_with("release"));
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis();
-    let name = own.file_stem().unwrap_or_default().to_string_lossy();
+    let name = current.file_stem().unwrap_or_default().to_string_lossy();
     let folder = built.unwrap_or(Path::new(".")).join(FOLDER).join(format!("{name}-{since}"));
     write(&folder, logs, files)?;
     Ok(folder)
 }
 
-/// Writes the same to a given folder.
+/// Writes the logs of a failed run, by process name, and other files to a folder.
 ///
 /// # Errors
 ///
-/// What the system said.
+/// If the folder or a file cannot be written.
 pub fn write(
     folder: &Path,
     logs: &[(String, Vec<String>)],
--- a/tests/src/request.rs
+++ b/tests/src/request.rs
@@ -1,4 +1,4 @@
-//! Requests as clients of the platform send them and backend servers get them.
+//! Requests as clients send them and as backend servers receive them.
 
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::Duration;
@@ -7,10 +7,10 @@
 
 use crate::system::{HOST, KEY};
 
-/// A request as a client of the platform sends it.
+/// A request as a client sends it.
 #[derive(Debug, Clone)]
 pub struct Request {
-    /// Its id.
+    /// Id of the request.
     pub id: String,
     pub(crate) method: &'static str,
     pub(crate) path: String,
@@ -19,7 +19,7 @@
 }
 
 impl Request {
-    /// A request with the team's key and a deadline of 3 s.
+    /// Creates a POST request with a unique id, the team's key and a deadline of 3 s.
     pub fn new(path: &str) -> Request {
         static NEXT: AtomicU32 = AtomicU32::new(0);
         let id = format!("req{:08x}", NEXT.fetch_add(1, Ordering::Relaxed));
@@ -37,7 +37,7 @@
             .with("x-deadline-ms", "3000")
     }
 
-    /// A request that takes some 50 ms, of the lock-step group or of a plain service.
+    /// Creates a request that takes about 50 ms, for the lock-step group or a plain service.
     pub fn short(ranks: bool) -> Request {
         match ranks {
             true => Request::new("/draft/").with("x-standin-events", "5"),
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Sets a header.
+    /// Sets a header and replaces an earlier value.
     pub fn with(mut self, name: &str, value: &str) -> Request {
         self.headers.retain(|(known, _)| known != name);
         self.headers.push((name.to_owned(), value.to_owned()));
@@ -63,12 +63,12 @@
         self.with("x-api-key", key)
     }
 
-    /// Sets how long the client waits.
+    /// Sets the deadline.
     pub fn deadline(self, time: Duration) -> Request {
         self.with("x-deadline-ms", &time.as_millis().to_string())
     }
 
-    /// The request as it stands on the wire.
+    /// Returns the HTTP/1.1 message of the request.
     pub fn text(&self) -> String {
         let headers = self.headers.iter().map(|(name, value)| format!("{name}: {value}\r\n"));
         let headers: String = headers.collect();
@@ -77,28 +77,28 @@
         format!("{method} {path} HTTP/1.1\r\n{headers}content-length: {length}\r\n\r\n{body}")
     }
 
-    /// Leaves a header out.
+    /// Removes a header.
     pub fn without(mut self, name: &str) -> Request {
         self.headers.retain(|(known, _)| known != name);
         self
     }
 }
 
-/// What the head of an answer tells its client.
+/// Status and headers of a response that matter to its client.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Head {
-    /// Status.
+    /// HTTP status.
     pub status: u16,
     /// Signature of the backend server, if there is one.
     pub signature: Option<String>,
-    /// Id of the request that the answer names.
+    /// Id of the request that the response answers.
     pub request: Option<String>,
-    /// Time after which the client should come back.
+    /// Time after which the client may retry.
     pub retry_after: Option<Duration>,
 }
 
 impl Head {
-    /// The head of a response.
+    /// Reads the head of a response.
     pub fn of<B>(response: &http::Response<B>) -> Head {
         let text = |name: &str| {
             let value = response.headers().get(name)?;
@@ -114,18 +114,18 @@
     }
 }
 
-/// A request as a backend server got it.
+/// A request as a backend server received it.
 #[derive(Debug, Clone)]
 pub struct Arrival(pub Value);
 
 impl Arrival {
-    /// Id of the request.
+    /// Returns the id of the request.
     pub fn id(&self) -> &str {
         self.0["headers"]["x-attempt-id"].as_str().unwrap_or_default()
     }
 
-    /// Whether it came as it was sent to that path, with its team, without the
-    /// key, and to the backend server that it was meant for.
+    /// Returns whether the request arrived unchanged at the path and at the backend server that
+    /// it was meant for, with its team and without the key.
     pub fn is_intact(&self, path: &str) -> bool {
         let headers = &self.0["headers"];
         self.0["path"] == path
--- a/tests/src/visits.rs
+++ b/tests/src/visits.rs
@@ -1,44 +1,45 @@
-//! Requests as they reached backend servers, and whether these got more than
-//! they had asked for.
+//! Checks of the requests that reached backend servers against what the servers had asked for.
 //!
-//! Counts as the users do. Times are Unix milliseconds of one machine's clock.
+//! A server asks for a *rest* when it rejects a request with a time in its header `retry-after`;
+//! it reports in answers that it is leaving; and it names a rate limit in answers. The checks
+//! count requests in the way that the users count them. Times are Unix milliseconds of one
+//! machine's clock.
 
 use std::collections::BTreeMap;
 
 use serde_json::Value;
 
-/// Time after an answer that asks for rest from which on requests count.
+/// Time after an answer with a rest or a rate limit during which requests are not counted.
 const SETTLE_MS: u64 = 500;
-/// Requests that may reach a server from one gateway in the rest of that time.
+/// Number of requests from one gateway that may reach a server during the remaining rest.
 pub const MAX_REQUESTS_DURING_REST: usize = 2;
-/// Time after a gateway passed on that a server leaves from which on no request
-/// that a client sends may reach it.
+/// Time after a gateway passed on an answer of a leaving server until the server must be drained.
+/// Requests that clients send to that gateway later must not reach it.
 pub const DRAIN_MS: u64 = 2_000;
 
 /// A request that reached the run of a server that it was meant for.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Visit {
-    /// The server.
+    /// Id of the server.
     pub server: String,
-    /// How often it had started again before.
+    /// Number of restarts of the server before this run.
     pub run: u64,
     /// Id of the request.
     pub request: String,
-    /// When it came.
+    /// Time of arrival.
     pub at: u64,
-    /// The rest that the server asked for, as its header said it, where it
-    /// refused the request.
+    /// Header value with the rest that the server asked for, if it rejected the request.
     pub shed: Option<String>,
-    /// Whether its answer said that the server leaves; not where none was given.
+    /// Whether the answer reported that the server is leaving. False if there was no answer.
     pub leaving: bool,
-    /// The rate limit that the server named as the request came, requests a second.
+    /// Rate limit of the server when the request arrived, in requests per second.
     pub limit: Option<f64>,
-    /// Whether its answer named one.
+    /// Whether the answer named a rate limit.
     pub told: bool,
 }
 
 impl Visit {
-    /// Reads what the servers' stand-in tells.
+    /// Reads a row that the stand-in for backend servers reports.
     pub fn read(row: &Value) -> Visit {
         let text = |name: &str| row[name].as_str().map(str::to_owned);
         let number = |name: &str| row[name].as_u64().unwrap_or_default();
@@ -54,53 +55,54 @@
         }
     }
 
-    /// The rest that it asked for, where the header can be read.
-    fn rest(&self) -> Option<u64> {
+    /// Returns the rest that the server asked for, in milliseconds, if the header is valid.
+    fn rest_ms(&self) -> Option<u64> {
         let seconds: f64 = self.shed.as_ref()?.parse().ok()?;
         (seconds >= 0.0).then_some((seconds * 1_000.0) as u64)
     }
 }
 
-/// A request as its client sent it.
+/// Times of a request at its client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Sent {
-    /// Gateway that it was sent to.
+    /// Gateway that the request was sent to.
     pub gateway: u8,
-    /// When it was sent.
+    /// Time when the request was sent.
     pub at: u64,
-    /// When its answer had come.
+    /// Time when the answer had been received.
     pub answered: u64,
 }
 
-/// A server that got more than it had asked for.
+/// Requests that reached a server although it was resting or leaving.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Excess {
-    /// The server.
+    /// Id of the server.
     pub server: String,
-    /// The gateway that sent to it.
+    /// Gateway that sent the requests.
     pub gateway: u8,
-    /// What it had asked for, milliseconds; none where it was leaving.
+    /// Rest that the server had asked for, in milliseconds, or `None` if it was leaving.
     pub rest: Option<u64>,
-    /// Requests that reached it all the same.
+    /// Number of requests that reached the server.
     pub requests: usize,
-    /// From when to when they would have counted.
+    /// Start and end of the time in which requests are counted.
     pub span: (u64, u64),
-    /// Request whose answer said so, and the first one that came all the same.
+    /// Ids of the request whose answer had the rest or the leave, and of the first one counted.
     pub ids: (String, String),
 }
 
-/// The one that got most.
+/// Returns the excess with the most requests.
 pub fn worst(excesses: Vec<Excess>) -> Option<Excess> {
     excesses.into_iter().max_by_key(|excess| excess.requests)
 }
 
-/// What excuses a gateway: something was done to it, or to its way to a server.
+/// Exempts requests from the checks, because a test disturbed a gateway or its connection to a
+/// server.
 pub trait Exemption {
-    /// Whether that happened between the two times.
+    /// Returns whether such a disturbance happened between the two times.
     fn applies(&self, gateway: u8, server: &str, from: u64, to: u64) -> bool;
 }
 
-/// Nothing was done to anybody.
+/// An exemption that never applies.
 pub struct NoExemption;
 
 impl Exemption for NoExemption {
@@ -109,25 +111,26 @@
     }
 }
 
-/// Servers that asked a gateway for rest and got more than [`MAX_REQUESTS_DURING_REST`] requests
-/// from it in that time.
+/// Returns the servers that asked a gateway for a rest and received more than
+/// [`MAX_REQUESTS_DURING_REST`] requests from it during that rest.
 pub fn rest_violations(
     visits: &[Visit],
     sent: &BTreeMap<String, Sent>,
     excuse: &impl Exemption,
 ) -> Vec<Excess> {
     let mut excesses = Vec::new();
-    for ((gateway, server, _), visits) in by_pair(visits, sent) {
+    for ((gateway, server, _), visits) in by_gateway_and_run(visits, sent) {
         for asked in &visits {
-            let Some(rest) = asked.rest() else { continue };
+            let Some(rest) = asked.rest_ms() else { continue };
             let span = (asked.at + SETTLE_MS, asked.at + rest);
-            let came = visits.iter().filter(|visit| span.0 <= visit.at && visit.at <= span.1);
-            let came = came.filter(|visit| !excuse.applies(gateway, server, asked.at, visit.at));
-            let came: Vec<&&Visit> = came.collect();
-            let requests = came.len();
+            let arrived = visits.iter().filter(|visit| span.0 <= visit.at && visit.at <= span.1);
+            let arrived =
+                arrived.filter(|visit| !excuse.applies(gateway, server, asked.at, visit.at));
+            let arrived: Vec<&&Visit> = arrived.collect();
+            let requests = arrived.len();
             if requests > MAX_REQUESTS_DURING_REST {
                 let server = server.to_owned();
-                let ids = (asked.request.clone(), came[0].request.clone());
+                let ids = (asked.request.clone(), arrived[0].request.clone());
                 excesses.push(Excess { server, gateway, rest: Some(rest), requests, span, ids });
             }
         }
@@ -135,15 +138,15 @@
     excesses
 }
 
-/// Servers that had said that they leave, and got requests that clients sent
-/// [`DRAIN_MS`] after their gateway had passed that on.
+/// Returns the servers that had reported that they leave, and received requests that clients sent
+/// more than [`DRAIN_MS`] after their gateway had passed that answer on.
 pub fn drain_violations(
     visits: &[Visit],
     sent: &BTreeMap<String, Sent>,
     excuse: &impl Exemption,
 ) -> Vec<Excess> {
     let mut excesses = Vec::new();
-    for ((gateway, server, _), visits) in by_pair(visits, sent) {
+    for ((gateway, server, _), visits) in by_gateway_and_run(visits, sent) {
         let passed_on = visits.iter().filter(|visit| visit.leaving && visit.shed.is_none());
         let told = passed_on.filter_map(|visit| Some((sent.get(&visit.request)?.answered, visit)));
         let Some((told, first)) = told.min_by_key(|(answered, _)| *answered) else { continue };
@@ -162,8 +165,8 @@
     excesses
 }
 
-/// Visits by gateway, server and run.
-fn by_pair<'a>(
+/// Groups visits by gateway, server and run.
+fn by_gateway_and_run<'a>(
     visits: &'a [Visit],
     sent: &BTreeMap<String, Sent>,
 ) -> BTreeMap<(u8, &'a str, u64), Vec<&'a Visit>> {
@@ -175,31 +178,31 @@
     pairs
 }
 
-/// Time from the first answer that names a rate limit on in which requests do not count.
+/// Time after the first answer that names a rate limit during which requests are not counted.
 pub const LIMIT_SETTLE_MS: u64 = 3_000;
-/// Span over which requests at a server that names a limit are counted.
+/// Length of the span over which requests at a server that names a limit are counted.
 pub const LIMIT_SPAN_MS: u64 = 4_000;
 
-/// A server that got more requests than the rate limit that it named allows.
+/// Requests that reached a server above the rate limit that it named.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Overrun {
-    /// The server.
+    /// Id of the server.
     pub server: String,
-    /// The limit, requests a second.
+    /// Rate limit, in requests per second.
     pub limit: f64,
-    /// Requests of all gateways that had been told.
+    /// Number of requests of all gateways that had received the limit.
     pub requests: usize,
-    /// Requests that are allowed.
+    /// Number of requests that are allowed.
     pub allowed: f64,
-    /// From when to when.
+    /// Times of the first and the last of these requests.
     pub span: (u64, u64),
-    /// Those requests, each with its gateway.
+    /// Ids of these requests, each with its gateway.
     pub ids: Vec<(String, u8)>,
 }
 
-/// Servers that got more within some [`LIMIT_SPAN_MS`] than one and a half times what
-/// their rate limit allows, and five requests: by all gateways together that had
-/// passed on an answer that names it, half a second before or earlier.
+/// Returns the servers that received more requests within a span of [`LIMIT_SPAN_MS`] than one
+/// and a half times their rate limit plus five requests. Requests of all gateways are added up
+/// that had passed on an answer with the limit at least half a second earlier.
 pub fn overruns(
     visits: &[Visit],
     sent: &BTreeMap<String, Sent>,
@@ -214,15 +217,15 @@
         visits.sort_by_key(|visit| visit.at);
         for period in visits.chunk_by(|one, next| one.limit.is_some() == next.limit.is_some()) {
             if period[0].limit.is_some() {
-                overruns.extend(overrun(period, sent, excuse));
+                overruns.extend(worst_overrun(period, sent, excuse));
             }
         }
     }
     overruns
 }
 
-/// The worst overrun in a time in which a server named a limit all along.
-fn overrun(
+/// Returns the worst overrun in a period in which a server had a limit throughout.
+fn worst_overrun(
     visits: &[&Visit],
     sent: &BTreeMap<String, Sent>,
     excuse: &impl Exemption,
