--- a/tests/src/bin/demo.rs
+++ b/tests/src/bin/demo.rs
@@ -1,7 +1,8 @@
-//! The main job on loopback: two availability zones with two entry hosts, a
-//! rank group and a plain service each; a bundle proposed, approved and rolled
-//! forward; a streamed chat and a call that may not be repeated; then a clean
-//! stop. The last line is `demo: ok`.
+//! Demonstration of the main functions on loopback.
+//!
+//! Two availability zones have two entry hosts, a rank group and a plain service each. The demo
+//! proposes, approves and rolls forward a bundle; sends a streamed chat and a call that must not
+//! be repeated; and then stops all processes cleanly. The last line is `demo: ok`.
 
 use loftcove_tests::{cluster, until};
 
@@ -9,7 +10,7 @@
 async fn main() {
     println!("demo: starting platform, engines, service, agents and entry hosts");
     let mut cluster = cluster::Cluster::start(cluster::Plan::default()).await;
-    println!("demo: {} processes of loftcove serve", cluster.members.len());
+    println!("demo: {} loftcoved processes serve", cluster.members.len());
     print!("{}", cluster.tool("ana", &["bundle", "history"]).await.stdout);
     let entry = cluster.entries().remove(0);
     let caller = cluster.caller(&entry);
@@ -31,7 +32,7 @@
     let runs = cluster.runs(&key).await;
     println!("demo: the same key again: {} runs={runs}", again.kind());
     assert_eq!((again.status, runs), (409, 1));
-    until("a group's map has moved to where it pays", || async {
+    until("a group switches to a map of a later epoch", || async {
         let status = cluster.status().await;
         status.values().any(|one| one["groups"][0]["epoch"].as_u64() > Some(1))
     })
--- a/tests/src/lib.rs
+++ b/tests/src/lib.rs
@@ -1,11 +1,13 @@
-//! A whole deployment of real processes on loopback, for the end-to-end tests
-//! and the demo.
+//! Deployments of real processes on loopback, for the end-to-end tests and the demo.
 //!
-//! [`process`] runs one program, [`cluster`] a deployment of them with the
-//! stand-ins and the fault-injecting proxy between any two, [`caller`] asks
-//! as a caller would; [`system`] is a deployment on the users'
-//! machines, [`client`] sends [`request`]s to it, and [`visits`] checks what reached its servers. Nothing waits for a fixed time: [`until`] waits for a
-//! condition. [`failure`] keeps the logs of a run that failed.
+//! - [`process`] runs one program.
+//! - [`cluster`] runs entry hosts and agents with stand-ins for all other programs, and with the
+//!   fault-injecting proxy between any two processes. [`caller`] sends requests to them.
+//! - [`system`] runs gateways and sidecars with their stand-ins. [`client`] sends [`request`]s to
+//!   them, and [`visits`] checks the requests that reached the backend servers.
+//! - [`failure`] saves the logs of a failed run.
+//!
+//! Tests wait for a condition with [`until`] instead of a fixed time.
 
 pub mod caller;
 pub mod client;
@@ -19,15 +21,16 @@
 use std::future::Future;
 use std::time::Duration;
 
-/// Longest wait for any condition: far above what it takes, so that a slow
-/// machine does not change the verdict.
+/// Maximum wait for a condition. It is far longer than any condition takes, so that a slow
+/// machine does not fail a test.
 pub const MAX_WAIT: Duration = Duration::from_secs(90);
 
-/// Waits until the condition holds.
+/// Waits until a condition holds.
 ///
 /// # Panics
 ///
-/// If it does not hold in the end; `what` says what was waited for.
+/// If the condition does not hold within [`MAX_WAIT`]. The message contains `what`, a description
+/// of the condition.
 pub async fn until<F: Future<Output = bool>>(what: &str, mut condition: impl FnMut() -> F) {
     let mut holds = || {
         let condition = condition();
@@ -36,22 +39,23 @@
     until_ok(what, &mut holds).await;
 }
 
-/// Waits until nothing is lacking any more.
+/// Waits until a check succeeds.
 ///
 /// # Panics
 ///
-/// If something still is in the end; says what was waited for and what is lacking.
+/// If the check still fails after [`MAX_WAIT`]. The message contains `what`, a description of the
+/// condition, and the last error.
 pub async fn until_ok<F: Future<Output = Result<(), String>>>(
     what: &str,
     mut check: impl FnMut() -> F,
 ) {
-    let mut lacking = String::new();
+    let mut last_error = String::new();
     let held = async {
-        while let Err(lack) = check().await {
-            lacking = lack;
+        while let Err(error) = check().await {
+            last_error = error;
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     };
     let ended = tokio::time::timeout(MAX_WAIT, held).await;
-    assert!(ended.is_ok(), "waited in vain until {what}; lacking: {lacking}");
+    assert!(ended.is_ok(), "timed out waiting until {what}; last error: {last_error}");
 }
