--- a/tests/src/visits.rs
+++ b/tests/src/visits.rs
@@ -116,7 +116,7 @@
 pub fn rest_violations(
     visits: &[Visit],
     sent: &BTreeMap<String, Sent>,
-    excuse: &impl Exemption,
+    exemption: &impl Exemption,
 ) -> Vec<Excess> {
     let mut excesses = Vec::new();
     for ((gateway, server, _), visits) in by_gateway_and_run(visits, sent) {
@@ -125,7 +125,7 @@
             let span = (asked.at + SETTLE_MS, asked.at + rest);
             let arrived = visits.iter().filter(|visit| span.0 <= visit.at && visit.at <= span.1);
             let arrived =
-                arrived.filter(|visit| !excuse.applies(gateway, server, asked.at, visit.at));
+                arrived.filter(|visit| !exemption.applies(gateway, server, asked.at, visit.at));
             let arrived: Vec<&&Visit> = arrived.collect();
             let requests = arrived.len();
             if requests > MAX_REQUESTS_DURING_REST {
@@ -143,17 +143,18 @@
 pub fn drain_violations(
     visits: &[Visit],
     sent: &BTreeMap<String, Sent>,
-    excuse: &impl Exemption,
+    exemption: &impl Exemption,
 ) -> Vec<Excess> {
     let mut excesses = Vec::new();
     for ((gateway, server, _), visits) in by_gateway_and_run(visits, sent) {
         let passed_on = visits.iter().filter(|visit| visit.leaving && visit.shed.is_none());
-        let told = passed_on.filter_map(|visit| Some((sent.get(&visit.request)?.answered, visit)));
-        let Some((told, first)) = told.min_by_key(|(answered, _)| *answered) else { continue };
-        let span = (told + DRAIN_MS, u64::MAX);
+        let reports =
+            passed_on.filter_map(|visit| Some((sent.get(&visit.request)?.answered, visit)));
+        let Some((since, first)) = reports.min_by_key(|(answered, _)| *answered) else { continue };
+        let span = (since + DRAIN_MS, u64::MAX);
         let sent = visits.iter().filter_map(|visit| Some((sent.get(&visit.request)?, visit)));
         let late = sent.filter(|(sent, _)| sent.at > span.0);
-        let late = late.filter(|(sent, _)| !excuse.applies(gateway, server, told, sent.at));
+        let late = late.filter(|(sent, _)| !exemption.applies(gateway, server, since, sent.at));
         let late: Vec<&Visit> = late.map(|(_, visit)| *visit).collect();
         let requests = late.len();
         if requests > 0 {
@@ -206,7 +207,7 @@
 pub fn overruns(
     visits: &[Visit],
     sent: &BTreeMap<String, Sent>,
-    excuse: &impl Exemption,
+    exemption: &impl Exemption,
 ) -> Vec<Overrun> {
     let mut runs: BTreeMap<(&str, u64), Vec<&Visit>> = BTreeMap::new();
     for visit in visits {
@@ -217,7 +218,7 @@
         visits.sort_by_key(|visit| visit.at);
         for period in visits.chunk_by(|one, next| one.limit.is_some() == next.limit.is_some()) {
             if period[0].limit.is_some() {
-                overruns.extend(worst_overrun(period, sent, excuse));
+                overruns.extend(worst_overrun(period, sent, exemption));
             }
         }
     }
@@ -228,20 +229,20 @@
 fn worst_overrun(
     visits: &[&Visit],
     sent: &BTreeMap<String, Sent>,
-    excuse: &impl Exemption,
+    exemption: &impl Exemption,
 ) -> Option<Overrun> {
     let first = visits.iter().find(|visit| visit.told)?;
-    let mut told: BTreeMap<u8, u64> = BTreeMap::new();
+    let mut received: BTreeMap<u8, u64> = BTreeMap::new();
     for sent in visits.iter().filter(|visit| visit.told).filter_map(|v| sent.get(&v.request)) {
-        let passed_on = told.entry(sent.gateway).or_insert(u64::MAX);
+        let passed_on = received.entry(sent.gateway).or_insert(u64::MAX);
         *passed_on = sent.answered.min(*passed_on);
     }
     let counts = |visit: &&&Visit| {
         let gateway = sent.get(&visit.request).map(|sent| sent.gateway);
         gateway.is_some_and(|gateway| {
-            let told = told.get(&gateway).copied().unwrap_or(u64::MAX);
-            let since = told.saturating_add(SETTLE_MS).max(first.at + LIMIT_SETTLE_MS);
-            visit.at >= since && !excuse.applies(gateway, &visit.server, told, visit.at)
+            let received = received.get(&gateway).copied().unwrap_or(u64::MAX);
+            let since = received.saturating_add(SETTLE_MS).max(first.at + LIMIT_SETTLE_MS);
+            visit.at >= since && !exemption.applies(gateway, &visit.server, received, visit.at)
         })
     };
     let counted: Vec<&Visit> = visits.iter().filter(counts).copied().collect();
