--- a/tests/tests/bundles.rs
+++ b/tests/tests/bundles.rs
@@ -1,4 +1,4 @@
-//! An accepted bundle is in force everywhere and never reverts.
+//! An accepted bundle comes into force everywhere and never reverts.
 
 #![allow(clippy::unwrap_used, reason = "a test that fails may panic")]
 
@@ -7,8 +7,8 @@
 use base64::Engine as _;
 use loftcove_tests::{caller, cluster, until};
 
-/// Proposes, approves and rolls a bundle with a comment that makes it new.
-async fn roll(cluster: &cluster::Cluster, mark: &str, extra: &str) -> bool {
+/// Proposes, approves and rolls forward a bundle, which a comment makes different from others.
+async fn roll_forward(cluster: &cluster::Cluster, mark: &str, extra: &str) -> bool {
     let text = format!("# {mark}\n{}", cluster.bundle(extra));
     let digest = cluster.propose("ana", "next.toml", &text).await;
     cluster.tool("bruno", &["bundle", "approve", &digest]).await;
@@ -20,7 +20,7 @@
     status.values().filter_map(|one| one["generation"].as_u64()).collect()
 }
 
-async fn in_force_everywhere(cluster: &cluster::Cluster, generation: u64) {
+async fn wait_in_force(cluster: &cluster::Cluster, generation: u64) {
     until(&format!("generation {generation} is in force everywhere"), || async {
         let all = generations(cluster).await;
         assert!(all.iter().all(|one| *one <= generation), "{all:?}");
@@ -29,7 +29,8 @@
     .await;
 }
 
-async fn kv(cluster: &cluster::Cluster) -> (u64, Vec<u8>) {
+/// Returns the revision and the value of the platform's key of the bundle in force.
+async fn read_force_key(cluster: &cluster::Cluster) -> (u64, Vec<u8>) {
     let control = caller::Caller::new(cluster.platform_address, "");
     let page = control.read("/v1/kv-range?path_prefix=loftcove/vale/force").await;
     let item = &page["items"][0];
@@ -39,24 +40,23 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_bundle_spreads_and_never_reverts() {
+async fn applies_a_bundle_everywhere_and_never_reverts_it() {
     let mut cluster = cluster::Cluster::start(cluster::Plan::default()).await;
-    let (_, first) = kv(&cluster).await;
+    let (_, first) = read_force_key(&cluster).await;
     let began = Instant::now();
-    assert!(roll(&cluster, "two", "").await);
-    in_force_everywhere(&cluster, 2).await;
+    assert!(roll_forward(&cluster, "two", "").await);
+    wait_in_force(&cluster, 2).await;
     println!("in force at {} processes after {:?}", cluster.members.len(), began.elapsed());
-    // The answer to the roll is lost after it took effect: the tool finds its mark.
+    // The answer to the write is lost after the write took effect. The tool finds its mark.
     let text = format!("# three\n{}", cluster.bundle(""));
     let digest = cluster.propose("ana", "next.toml", &text).await;
     cluster.tool("bruno", &["bundle", "approve", &digest]).await;
     cluster.platform_fault("lose-write").await;
-    // The archive of the present one is written first, and loses its answer, too.
+    // The archive of the present bundle is written first, and its answer is lost, too.
     assert!(cluster.tool("ana", &["bundle", "roll-forward", &digest]).await.success);
-    in_force_everywhere(&cluster, 3).await;
-    // The platform comes back with an old value; no process falls back, a
-    // restarted one included.
-    let (index, third) = kv(&cluster).await;
+    wait_in_force(&cluster, 3).await;
+    // The platform returns an old value. No process reverts to it, not even a restarted one.
+    let (index, third) = read_force_key(&cluster).await;
     let control = caller::Caller::new(cluster.platform_address, "");
     let put = |index: u64, value: Vec<u8>| {
         let control = control.clone();
@@ -76,23 +76,23 @@
     let entry = cluster.entries().remove(0);
     cluster.members.get_mut(&entry).unwrap().process.kill().await;
     cluster.restart(&entry).await;
-    in_force_everywhere(&cluster, 3).await;
-    // A value that nobody signed is refused by all.
+    wait_in_force(&cluster, 3).await;
+    // All processes refuse a value without a valid signature.
     let forged =
         String::from_utf8(third.clone()).unwrap().replace("\"generation\":3", "\"generation\":9");
-    put(kv(&cluster).await.0, forged.into_bytes()).await;
+    put(read_force_key(&cluster).await.0, forged.into_bytes()).await;
     let other = cluster.entries().remove(1);
     cluster.members.get_mut(&other).unwrap().process.kill().await;
     cluster.restart(&other).await;
-    in_force_everywhere(&cluster, 3).await;
-    put(kv(&cluster).await.0, third).await;
-    // Withdrawing is a new generation with the text before.
+    wait_in_force(&cluster, 3).await;
+    put(read_force_key(&cluster).await.0, third).await;
+    // A withdrawal is a new generation with the previous text.
     assert!(cluster.tool("carla", &["bundle", "withdraw"]).await.success);
-    in_force_everywhere(&cluster, 4).await;
+    wait_in_force(&cluster, 4).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn operators_race_and_one_wins() {
+async fn applies_bundles_of_concurrent_operators_in_order() {
     let cluster = cluster::Cluster::start(cluster::Plan::default()).await;
     let mut digests = Vec::new();
     for (index, operator) in ["ana", "bruno", "carla"].into_iter().enumerate() {
@@ -116,19 +116,19 @@
     for lost in ended.iter().filter(|one| !one.success) {
         assert!(lost.stderr.contains("conflict: `"), "{lost:?}");
     }
-    in_force_everywhere(&cluster, 1 + won as u64).await;
+    wait_in_force(&cluster, 1 + won as u64).await;
     let history = cluster.tool("ana", &["bundle", "history"]).await.stdout;
     assert_eq!(history.lines().count(), 1 + won, "{history}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_process_that_starts_in_a_cut_takes_what_its_zone_has() {
+async fn starts_in_an_isolated_zone_with_the_bundle_of_its_peers() {
     let mut cluster = cluster::Cluster::start(cluster::Plan::default()).await;
-    assert!(roll(&cluster, "two", "").await);
-    in_force_everywhere(&cluster, 2).await;
+    assert!(roll_forward(&cluster, "two", "").await);
+    wait_in_force(&cluster, 2).await;
     cluster.isolate("sala-porto", "cut").await;
     cluster.link("sala-porto", "platform", "cut").await;
-    assert!(roll(&cluster, "three", "").await);
+    assert!(roll_forward(&cluster, "three", "").await);
     for host in ["entry-sala-porto-0", "entry-sala-porto-1"] {
         cluster.members.get_mut(host).unwrap().process.kill().await;
         cluster.restart(host).await;
@@ -141,23 +141,23 @@
     let status = cluster.status().await;
     assert_eq!(status["entry-sala-porto-0"]["generation"], 2);
     cluster.isolate("sala-porto", "none").await;
-    // The platform stays cut: the other zone's peers bring the news.
-    in_force_everywhere(&cluster, 3).await;
+    // The platform stays unreachable. Peers of the other zone pass the bundle on.
+    wait_in_force(&cluster, 3).await;
 }
 
-/// Longest time until a bundle is in force everywhere, as the users bound it.
-const IN_FORCE: std::time::Duration = std::time::Duration::from_secs(16);
+/// Maximum time until a bundle is in force everywhere, which the users require.
+const IN_FORCE_BOUND: std::time::Duration = std::time::Duration::from_secs(16);
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_bundle_spreads_while_open_connections_to_the_platform_are_silent() {
+async fn applies_a_bundle_while_open_connections_to_the_platform_are_silent() {
     let mut cluster = cluster::Cluster::start(cluster::Plan::default()).await;
-    assert!(roll(&cluster, "two", "").await);
-    in_force_everywhere(&cluster, 2).await;
-    // Time for the next watches to be opened.
+    assert!(roll_forward(&cluster, "two", "").await);
+    wait_in_force(&cluster, 2).await;
+    // The processes open their next watch calls in this time.
     tokio::time::sleep(std::time::Duration::from_secs(1)).await;
     cluster.link("*", "platform", "silence").await;
     let began = Instant::now();
-    assert!(roll(&cluster, "three", "").await);
-    in_force_everywhere(&cluster, 3).await;
-    assert!(began.elapsed() < IN_FORCE, "{:?}", began.elapsed());
+    assert!(roll_forward(&cluster, "three", "").await);
+    wait_in_force(&cluster, 3).await;
+    assert!(began.elapsed() < IN_FORCE_BOUND, "{:?}", began.elapsed());
 }
--- a/tests/tests/eras.rs
+++ b/tests/tests/eras.rs
@@ -1,12 +1,13 @@
-//! The store comes back from a copy and gives revisions out again: what it says then is
-//! newer than all before.
+//! Records of a store that was restored from a copy supersede all earlier ones.
 //!
-//! Seen: four configurations that the store had acknowledged after it came back were not
-//! in force more than two seconds later; a revoked key was taken.
-//! How: no gateway learnt any of them until the store had given out as many revisions as
-//! before.
-//! Cause: records were ordered by revision alone, which was taken to rise for ever.
-//! Proof: these tests, and `mirror/tests/eras.rs` without processes.
+//! A restored store assigns revisions again that it had assigned before. An *era* of the store
+//! lasts until the next restore.
+//!
+//! Guards against four configurations that a restored store had acknowledged and that were not in
+//! force more than two seconds later, so that a revoked key was accepted. Records were ordered by
+//! revision alone, on the assumption that revisions always increase. No gateway therefore applied
+//! the new records until the store had assigned as many revisions as before the restore.
+//! `mirror/tests/eras.rs` covers the same fault without processes.
 
 #![allow(clippy::unwrap_used, reason = "a test that fails may panic")]
 
@@ -18,25 +19,25 @@
 
 const PLAN: Plan =
     Plan { gateways: 3, ranks: 4, groups: 1, plain: 2, sidecars: true, proxied: false };
-/// Configurations that the store loses.
+/// Number of configurations that the store loses.
 const LOST: u64 = 8;
-/// Time for which the store is away.
-const AWAY: Duration = Duration::from_millis(700);
+/// Time for which the store is unavailable.
+const OUTAGE: Duration = Duration::from_millis(700);
 
 async fn status(system: &System, gateway: u8, key: &str) -> u16 {
     system.request(gateway, &Request::new("/alert/").with("x-api-key", key)).await.status
 }
 
-/// Waits until all gateways take the key.
-async fn taken(system: &System, key: &str) {
+/// Waits until all gateways accept the key.
+async fn wait_accepted(system: &System, key: &str) {
     for gateway in 0..PLAN.gateways {
-        until("the key is taken", || async { status(system, gateway, key).await == 200 }).await;
+        until("the key is accepted", || async { status(system, gateway, key).await == 200 }).await;
     }
 }
 
-/// The store loses what the operator wrote since a copy was taken, and all else, and the
-/// operator writes the last configuration again. Returns its version and key.
-async fn lose(system: &mut System) -> (u64, String) {
+/// Restores the store from a copy that lacks the last configurations, and rewrites the last one as
+/// the operator does. Returns its version and key.
+async fn restore(system: &mut System) -> (u64, String) {
     system.store_control("copy").await;
     let mut version = 1;
     for _ in 0..LOST {
@@ -44,26 +45,26 @@
         system.configure(version, &[&format!("key-{version}")]).await;
     }
     let key = format!("key-{version}");
-    taken(system, &key).await;
-    system.restore_store(AWAY).await;
+    wait_accepted(system, &key).await;
+    system.restore_store(OUTAGE).await;
     (version, key)
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn configurations_after_the_store_lost_some_are_in_force_in_time() {
+async fn applies_configurations_written_after_the_store_lost_others() {
     let mut system = System::start(PLAN).await;
-    let (version, old) = lose(&mut system).await;
+    let (version, old) = restore(&mut system).await;
     let began = std::time::Instant::now();
     system.configure(version + 1, &["newest"]).await;
-    taken(&system, "newest").await;
+    wait_accepted(&system, "newest").await;
     for gateway in 0..PLAN.gateways {
         assert_eq!(status(&system, gateway, &old).await, 401, "the key is revoked");
-        assert_eq!(status(&system, gateway, KEY).await, 401, "the copy's key is none");
+        assert_eq!(status(&system, gateway, KEY).await, 401, "the copy's key is still valid");
     }
     assert!(began.elapsed() < BOUND, "{:?}", began.elapsed());
 }
 
-/// Sidecars that were elected, in the order of their first election.
+/// Returns the ranks whose sidecars were elected, in the order of the ranks.
 fn drivers(system: &System) -> Vec<u8> {
     let elected = |rank: &u8| {
         system.sidecars[usize::from(*rank)].log().iter().any(|line| line.contains("driver elected"))
@@ -71,20 +72,21 @@
     (0..PLAN.ranks).filter(elected).collect()
 }
 
-/// The driver of the copy is dead, and the lease of the present one is lost with its key.
+/// Covers a copy whose driver has been killed. The restore loses the key of the present driver
+/// with its lease.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_group_has_a_driver_after_the_store_lost_the_one_before() {
+async fn elects_a_driver_after_the_store_lost_the_earlier_one() {
     let mut system = System::start(PLAN).await;
     until("a driver is elected", || async { !drivers(&system).is_empty() }).await;
     system.store_control("copy").await;
     let first = drivers(&system)[0];
     system.sidecars[usize::from(first)].kill().await;
-    until("another one is elected", || async { drivers(&system).len() > 1 }).await;
+    until("another driver is elected", || async { drivers(&system).len() > 1 }).await;
     system.start_sidecar(first);
     for version in 2..2 + LOST {
         system.configure(version, &[KEY]).await;
     }
-    system.restore_store(AWAY).await;
+    system.restore_store(OUTAGE).await;
     let switches = || async { system.group_state().await["switches"].as_u64().unwrap() };
     let before = switches().await;
     system.group_control("/popular?expert=3").await;
--- a/tests/tests/gateway.rs
+++ b/tests/tests/gateway.rs
@@ -1,4 +1,4 @@
-//! What a gateway promises to clients and to backend servers.
+//! Guarantees of a gateway to clients and to backend servers.
 
 #![allow(clippy::unwrap_used, reason = "a test that fails may panic")]
 
@@ -11,7 +11,7 @@
     Plan { gateways: 2, ranks: 2, groups: 1, plain: 3, sidecars: false, proxied: false };
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_reaches_one_backend_server_as_it_was_sent() {
+async fn passes_a_request_unchanged_to_one_backend_server() {
     let system = System::start(PLAN).await;
     let request = Request::new("/receipt/7?a=b").with("x-tenant", "forged");
     let answer = system.request(0, &request).await;
@@ -28,7 +28,7 @@
     assert!((1..=3_000).contains(&left), "{left}");
     assert_eq!(arrivals[0]["body"], "body");
 
-    // Two requests that must not pass.
+    // Requests without a route or with an unknown key are not passed on.
     let unknown = Request::new("/nowhere/");
     assert_eq!(system.request(0, &unknown).await.status, 404);
     let stranger = Request::new("/alert/").with("x-api-key", "stolen");
@@ -38,31 +38,31 @@
     assert!(system.arrivals(&stranger.id).await.is_empty());
     let metrics = system.metrics(0).await;
     assert!(metrics.contains("loftcove_requests_total{outcome=\"answered\"}"), "{metrics}");
-    let told = |line: &String| line.contains("outcome request=") && line.contains(&request.id);
-    until("the outcome is in the log", || async { system.gateways[0].log().iter().any(told) })
+    let logged = |line: &String| line.contains("outcome request=") && line.contains(&request.id);
+    until("the outcome is in the log", || async { system.gateways[0].log().iter().any(logged) })
         .await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn what_may_not_run_twice_is_never_sent_twice() {
+async fn sends_a_request_that_must_not_be_repeated_only_once() {
     let system = System::start(PLAN).await;
     for fault in ["x-standin-lose", "x-standin-foreign"] {
         let once = Request::new("/receipt/").with(fault, "1");
         assert_eq!(system.request(0, &once).await.status, 502, "{fault}");
         assert_eq!(system.arrivals(&once.id).await.len(), 1, "{fault}");
-        // What may be repeated is, but no more often than its route allows.
+        // A request that may be repeated is retried, but no more often than its route allows.
         let twice = Request::new("/alert/").with(fault, "1");
         assert_eq!(system.request(0, &twice).await.status, 502, "{fault}");
         assert_eq!(system.arrivals(&twice.id).await.len(), 2, "{fault}");
     }
-    // A failure that a backend server answered is handed on as it is.
+    // An error answer of a backend server is passed on unchanged.
     let failed = Request::new("/receipt/").with("x-standin-status", "500");
     let answer = system.request(0, &failed).await;
     assert_eq!((answer.status, answer.headers.contains_key("x-server-stamp")), (500, true));
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stream_goes_on_at_another_rank_within_one_answer() {
+async fn resumes_a_broken_stream_at_another_rank_in_the_same_answer() {
     let system = System::start(PLAN).await;
     let request =
         Request::new("/draft/").with("x-standin-events", "12").with("x-standin-break", "5");
@@ -77,7 +77,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_client_that_leaves_ends_its_work() {
+async fn cancels_the_work_of_a_client_that_disconnects() {
     let system = System::start(PLAN).await;
     let mut client = system.client(0).await;
     let request = Request::new("/draft/").with("x-standin-events", "100000");
@@ -89,7 +89,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_broken_group_refuses_at_once_and_serves_again_when_it_has_formed() {
+async fn rejects_requests_while_a_group_is_broken_and_serves_once_it_has_formed() {
     let system = System::start(PLAN).await;
     let request = || Request::new("/draft/").with("x-standin-events", "3");
     assert_eq!(system.request(0, &request()).await.status, 200);
@@ -98,7 +98,7 @@
     assert_eq!(refused.status, 503);
     let after: f64 = refused.headers["retry-after"].to_str().unwrap().parse().unwrap();
     assert!(after > 1.0, "{after}");
-    // Most are refused without troubling a rank.
+    // The gateway rejects these requests without sending them to a rank.
     let mut reached = 0;
     for _ in 0..20 {
         let request = request();
@@ -111,12 +111,12 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_draining_or_missing_backend_server_gets_nothing_new() {
+async fn sends_no_new_request_to_a_draining_or_removed_backend_server() {
     let system = System::start(PLAN).await;
     let leaving = ["plain-0", "plain-1"];
     system.put_entry(leaving[0], SMS, system.plain_address(0), "draining").await;
     system.remove(&format!("servers/{}", leaving[1])).await;
-    until("gateway 1 has heard of it", || async {
+    until("gateway 1 has received both changes", || async {
         let request = Request::new("/alert/");
         assert_eq!(system.request(1, &request).await.status, 200);
         system.arrivals(&request.id).await[0]["server"] == "plain-2"
@@ -137,7 +137,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_planned_stop_cuts_no_answer() {
+async fn completes_running_answers_during_a_planned_stop() {
     let mut system = System::start(PLAN).await;
     let mut client = system.client(0).await;
     let mut idle = system.client(0).await;
@@ -146,8 +146,8 @@
         Request::new("/draft/").with("x-standin-events", "150").with("x-deadline-ms", "4000");
     let response = client.send(&long).await.unwrap();
     system.gateways[0].signal(libc::SIGTERM);
-    until("it is not ready", || async { !system.is_ready(0).await }).await;
-    // A request on a kept connection is served, and the client told to close.
+    until("the gateway is not ready", || async { !system.is_ready(0).await }).await;
+    // A request on an open connection is served, and the answer has `connection: close`.
     let late = idle.send(&Request::new("/alert/")).await.unwrap();
     assert_eq!(
         (late.status().as_u16(), &late.headers()["connection"]),
@@ -159,18 +159,18 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn without_a_configuration_nothing_is_refused_for_good() {
+async fn answers_503_with_retry_after_without_a_configuration() {
     let system = System::start(PLAN).await;
     system.store_control("fault/down").await;
-    let mut lonely = System::start_without_peers(&system, "").await;
+    let mut gateway = System::start_without_peers(&system, "").await;
     let answer = system.request(5, &Request::new("/alert/")).await;
     assert_eq!(answer.status, 503);
     assert!(answer.headers.contains_key("retry-after"));
-    lonely.kill().await;
+    gateway.kill().await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_key_taken_away_is_refused_by_every_gateway() {
+async fn rejects_a_revoked_key_at_every_gateway() {
     let mut system = System::start(PLAN).await;
     system.configure(2, &["another-key"]).await;
     for gateway in 0..PLAN.gateways {
@@ -181,7 +181,7 @@
         let request = Request::new("/alert/").with("x-api-key", "another-key");
         assert_eq!(system.request(gateway, &request).await.status, 200);
     }
-    // An older version that arrives late changes nothing.
+    // An older version that arrives late is ignored.
     system.configure(1, &[KEY]).await;
     system.configure(3, &["third-key"]).await;
     until("the third version is in force", || async {
@@ -190,27 +190,27 @@
     })
     .await;
     let passed = system.gateways[0].log().iter().any(|line| line.contains("version=1 before=2"));
-    assert!(!passed, "it went back");
+    assert!(!passed, "the gateway went back to an older version");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_gateway_that_can_take_no_more_connections_says_so() {
+async fn reports_unready_when_it_can_accept_no_more_connections() {
     let system = System::start(PLAN).await;
     let full = System::start_without_peers(&system, "max_descriptors = 320\n").await;
-    until("it is ready", || system.is_ready(5)).await;
+    until("the gateway is ready", || system.is_ready(5)).await;
     let mut client = system.client(5).await;
     let mut idle = Vec::new();
-    until("it is not ready", || {
+    until("the gateway is not ready", || {
         idle.push(std::net::TcpStream::connect(system.client_address(5)).unwrap());
         async { !system.is_ready(5).await }
     })
     .await;
-    // Whoever is connected is served.
+    // Clients that are already connected are served.
     let answer = client.send(&Request::new("/alert/")).await.unwrap();
     assert_eq!(answer.status(), 200);
-    let told = |line: &String| line.contains("no more connections taken");
-    until("the log tells", || async { full.log().iter().any(told) }).await;
+    let logged = |line: &String| line.contains("no more connections taken");
+    until("the gateway logs it", || async { full.log().iter().any(logged) }).await;
     drop(idle);
-    until("it is ready again", || system.is_ready(5)).await;
+    until("the gateway is ready again", || system.is_ready(5)).await;
     assert_eq!(system.request(5, &Request::new("/alert/")).await.status, 200);
 }
--- a/tests/tests/groups.rs
+++ b/tests/tests/groups.rs
@@ -1,4 +1,4 @@
-//! A lock-step group is taken to better maps, and never runs a pass on two.
+//! A lock-step group switches to better maps and never runs a pass on two maps.
 
 #![allow(clippy::unwrap_used, reason = "a test that fails may panic")]
 
@@ -41,76 +41,77 @@
     system.group_state().await["switches"].as_u64().unwrap_or(0)
 }
 
-/// Waits until the group has gone over to another map since.
-async fn moved(system: &System, since: u64) {
+/// Waits until the group has switched maps more than `since` times and is not held.
+async fn wait_switched(system: &System, since: u64) {
     until("the group has another map", || async {
         switches(system).await > since && system.group_state().await["held"] == 0
     })
     .await;
 }
 
-async fn sound(system: &System) {
+/// Checks that no pass ran on two maps.
+async fn assert_no_violations(system: &System) {
     let state = system.group_state().await;
     assert_eq!(state["violations"], 0, "{state}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_map_follows_the_demand() {
+async fn changes_the_map_with_the_demand() {
     let system = System::start(PLAN).await;
     let _load = Load::start(&system).await;
-    moved(&system, 0).await;
+    wait_switched(&system, 0).await;
     let before = switches(&system).await;
     system.group_control("/popular?expert=9").await;
-    moved(&system, before).await;
-    sound(&system).await;
+    wait_switched(&system, before).await;
+    assert_no_violations(&system).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn lost_and_late_orders_leave_one_map() {
+async fn keeps_one_map_despite_lost_and_late_orders() {
     let system = System::start(PLAN).await;
     system.group_control("/orders?lost=3&late=5").await;
     let _load = Load::start(&system).await;
     let mut before = 0;
     for expert in [1, 2, 3, 0] {
         system.group_control(&format!("/popular?expert={expert}")).await;
-        moved(&system, before).await;
+        wait_switched(&system, before).await;
         before = switches(&system).await;
-        sound(&system).await;
+        assert_no_violations(&system).await;
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn another_sidecar_takes_over_from_a_driver_that_is_gone() {
+async fn elects_another_driver_when_the_driver_is_paused_or_killed() {
     let mut system = System::start(PLAN).await;
     let _load = Load::start(&system).await;
-    moved(&system, 0).await;
+    wait_switched(&system, 0).await;
     for expert in [1, 2] {
         let driver = driver(&system).await;
-        // Paused, it keeps its connections and its lease for a while.
+        // A paused process keeps its connections, and its lease until the lease expires.
         system.sidecars[driver].signal(libc::SIGSTOP);
         let before = switches(&system).await;
         system.group_control(&format!("/popular?expert={expert}")).await;
-        form_anew(&system).await;
-        moved(&system, before).await;
+        reform(&system).await;
+        wait_switched(&system, before).await;
         system.sidecars[driver].signal(libc::SIGCONT);
-        sound(&system).await;
+        assert_no_violations(&system).await;
     }
     let driver = driver(&system).await;
     system.sidecars[driver].kill().await;
     system.start_sidecar(driver as u8);
     let before = switches(&system).await;
-    form_anew(&system).await;
-    moved(&system, before).await;
-    sound(&system).await;
+    reform(&system).await;
+    wait_switched(&system, before).await;
+    assert_no_violations(&system).await;
 }
 
-/// Has the group break and form anew, with the map that it opens with.
-async fn form_anew(system: &System) {
+/// Breaks the group and lets it form again, with its initial map.
+async fn reform(system: &System) {
     system.group_control("/break").await;
     system.group_control("/mend").await;
 }
 
-/// The sidecar that was elected last and has not resigned.
+/// Returns the sidecar that was elected last, which has the highest term.
 async fn driver(system: &System) -> usize {
     let term = |index: usize| {
         let log = system.sidecars[index].log();
@@ -121,40 +122,40 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_group_that_formed_anew_gets_a_map_again() {
+async fn changes_the_map_again_after_the_group_has_reformed() {
     let system = System::start(PLAN).await;
     let _load = Load::start(&system).await;
-    moved(&system, 0).await;
+    wait_switched(&system, 0).await;
     let before = switches(&system).await;
-    form_anew(&system).await;
-    moved(&system, before).await;
-    sound(&system).await;
+    reform(&system).await;
+    wait_switched(&system, before).await;
+    assert_no_violations(&system).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_engine_that_cannot_be_reached_does_not_fill_the_log() {
+async fn limits_log_lines_about_an_unreachable_engine() {
     let mut system = System::start(Plan { proxied: true, ..PLAN }).await;
     let _load = Load::start(&system).await;
-    moved(&system, 0).await;
+    wait_switched(&system, 0).await;
     let driver = driver(&system).await;
     let other = (driver + 1) % usize::from(PLAN.ranks);
     system.link(&format!("rank-{other}"), "cut").await;
     system.group_control("/popular?expert=9").await;
     let log = || system.sidecars[driver].log();
-    until("the change is given up", || async {
+    until("the change is aborted", || async {
         log().iter().any(|line| line.contains("outcome=Abandoned"))
     })
     .await;
     let failed = log().iter().filter(|line| line.contains("report failed")).count();
     assert!((1..=30).contains(&failed), "{failed} lines in four seconds");
-    sound(&system).await;
+    assert_no_violations(&system).await;
 }
 
 const TWO_GROUPS: Plan =
     Plan { gateways: 2, ranks: 6, groups: 2, plain: 1, sidecars: true, proxied: false };
 
-/// Waits until a group has gone over to another map.
-async fn moves(system: &System, group: u8) {
+/// Waits until a group has switched to another map and is not held.
+async fn wait_group_switched(system: &System, group: u8) {
     until("the group has another map", || async {
         let state = system.group_state_of(group).await;
         state["switches"].as_u64().unwrap_or(0) > 0 && state["held"] == 0
@@ -163,15 +164,15 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_maps_of_two_groups_of_one_service_change() {
+async fn changes_the_maps_of_two_groups_of_one_service() {
     let system = System::start(TWO_GROUPS).await;
     let _load = Load::start(&system).await;
     for group in 0..TWO_GROUPS.groups {
-        moves(&system, group).await;
+        wait_group_switched(&system, group).await;
         let state = system.group_state_of(group).await;
         assert_eq!(state["violations"], 0, "{state}");
     }
-    // Neither group's driver took the other's term for that of its successor.
+    // No driver took the term of the other group's driver for that of its own successor.
     let superseded = |sidecar: &loftcove_tests::process::Process| {
         sidecar.log().iter().filter(|line| line.contains("superseded")).count()
     };
@@ -180,12 +181,12 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn one_group_serves_while_the_other_is_broken() {
+async fn serves_from_one_group_while_the_other_is_broken() {
     let system = System::start(TWO_GROUPS).await;
     let load = Load::start(&system).await;
-    // Each driver has told the gateways its members before it changes the map.
-    moves(&system, 0).await;
-    moves(&system, 1).await;
+    // A driver reports the members of its group to the gateways before it changes the map.
+    wait_group_switched(&system, 0).await;
+    wait_group_switched(&system, 1).await;
     drop(load);
     system.group_control("/break?group=0").await;
     for _ in 0..40 {
@@ -195,20 +196,20 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_driver_that_starts_again_goes_on_at_once() {
+async fn reelects_a_restarted_driver_at_once() {
     let mut system = System::start(PLAN).await;
     let load = Load::start(&system).await;
-    moved(&system, 0).await;
+    wait_switched(&system, 0).await;
     let driver = driver(&system).await;
     system.sidecars[driver].kill().await;
     system.start_sidecar(driver as u8);
-    // It does not wait until the lease of its earlier run lapses.
-    until("it drives again", || async {
+    // The sidecar does not wait until the lease of its earlier run expires.
+    until("the restarted sidecar drives again", || async {
         let log = system.sidecars[driver].log();
         let own = log.iter().position(|line| line.contains("earlier run drove"));
         own.is_some_and(|own| log[own..].iter().any(|line| line.contains("driver elected")))
     })
     .await;
     drop(load);
-    sound(&system).await;
+    assert_no_violations(&system).await;
 }
--- a/tests/tests/keys.rs
+++ b/tests/tests/keys.rs
@@ -1,11 +1,11 @@
-//! Whoever lacks the deployment's key is not listened to.
+//! Processes reject peers that lack the deployment's key.
 
 #![allow(clippy::unwrap_used, reason = "a test that fails may panic")]
 
 use loftcove_tests::cluster;
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stranger_on_the_network_is_not_listened_to() {
+async fn rejects_peers_without_the_deployment_key() {
     let plan = cluster::Plan {
         zones: vec!["sala-braga"],
         entries: 1,
--- a/tests/tests/path.rs
+++ b/tests/tests/path.rs
@@ -1,11 +1,11 @@
-//! A request's whole way through real processes.
+//! Requests pass from entry hosts through agents to backend servers, all of them real processes.
 
 #![allow(clippy::unwrap_used, reason = "a test that fails may panic")]
 
 use loftcove_tests::{cluster, until};
 
 #[tokio::test(flavor = "multi_thread")]
-async fn requests_are_answered_through_the_whole_path() {
+async fn answers_requests_through_the_whole_path() {
     let cluster = cluster::Cluster::start(cluster::Plan::default()).await;
     for host in cluster.entries() {
         let caller = cluster.caller(&host);
--- a/tests/tests/poison.rs
+++ b/tests/tests/poison.rs
@@ -1,13 +1,12 @@
-//! The same request ended eight backend servers.
+//! A request that ends backend servers is refused before it ends more of them.
 //!
-//! Seen: three servers had ended under a request, and it was sent to servers
-//! four and five times more; each end broke the lock-step group of all others.
-//! How: its caller asked again at other gateways, and each try was a new
-//! request to them; a stream that broke off was also resumed at once.
-//! Cause: an attempt that may have run was never told from one whose server
-//! ended under it, and no gateway knew what had become of the request before.
-//! Proof: tries of one digest as `attempt number=1` at several gateways, each
-//! with `connection broke ... lives=false`.
+//! Guards against one request that ended eight backend servers. After three servers had ended, the
+//! request was sent to servers four and five times more, and each end of a rank broke the lock-step
+//! group of all other ranks. The caller retried at other gateways, which treated each retry as a
+//! new request, and a stream that broke off was resumed at once. Gateways did not distinguish an
+//! attempt that may have run from one whose server had ended under it, and no gateway knew the
+//! earlier attempts of the request at others. The logs showed attempts with one digest as
+//! `attempt number=1` at several gateways, each with `connection broke ... lives=false`.
 
 #![allow(clippy::unwrap_used, reason = "a test that fails may panic")]
 
@@ -18,14 +17,14 @@
 const PLAN: Plan =
     Plan { gateways: 3, ranks: 4, groups: 1, plain: 3, sidecars: false, proxied: false };
 
-/// Times that the caller asks.
+/// Number of requests that the caller sends.
 const TRIES: usize = 8;
-/// Retries that may reach a server after the third end: the users' bound.
+/// Maximum number of retries that may reach a server after the third end, which the users require.
 const RETRIES: usize = 3;
 /// Body of the request under which servers end.
 const BODY: &str = "ends whoever runs it";
 
-/// A request of a plain service, or of the lock-step group.
+/// Returns a request for the lock-step group or for a plain service.
 fn request(ranks: bool) -> Request {
     if ranks {
         Request::new("/draft/").with("x-standin-events", "100")
@@ -34,13 +33,13 @@
     }
 }
 
-/// The lock-step group, or the plain servers.
+/// Returns the lock-step group, or `None` for the plain servers.
 fn group(ranks: bool) -> Option<u8> {
     ranks.then_some(0)
 }
 
-/// The caller asks at one gateway after the other; returns how many servers
-/// ended, and how often the request reached one after the third of these.
+/// Sends the request through one gateway after another. Returns the number of servers that ended
+/// and how often the request reached a server after the third end.
 async fn repeat(system: &System, ranks: bool) -> (usize, usize) {
     let mut seen = 0;
     for gateway in (0..system.plan.gateways).cycle().take(TRIES) {
@@ -56,23 +55,23 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_same_request_ends_few_plain_servers() {
+async fn limits_the_plain_servers_that_one_request_ends() {
     let system = System::start(PLAN).await;
     let (ends, retries) = repeat(&system, false).await;
     assert!(ends <= 3 && retries <= RETRIES, "{ends} ends, {retries} retries after the third");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_same_request_ends_few_ranks() {
+async fn limits_the_ranks_that_one_request_ends() {
     let system = System::start(PLAN).await;
     let (ends, retries) = repeat(&system, true).await;
     assert!(ends <= 3 && retries <= RETRIES, "{ends} ends, {retries} retries after the third");
 }
 
-/// All gateways are killed once the request is refused; the next run of each
-/// refuses it, before it has ended another server.
+/// Kills all gateways once the request is refused. Their next runs refuse it, too, before it ends
+/// another server.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_refusal_outlasts_a_restart_of_all_gateways() {
+async fn keeps_a_refusal_across_a_restart_of_all_gateways() {
     let mut system = System::start(PLAN).await;
     repeat(&system, false).await;
     let before = system.ends(None).await.len();
@@ -96,9 +95,10 @@
     assert_eq!(system.ends(None).await.len(), before);
 }
 
-/// Others run on the servers that end, and come again once these are back.
+/// Covers other requests that run on the servers that end. Their retries are served once the
+/// servers have restarted.
 #[tokio::test(flavor = "multi_thread")]
-async fn others_on_a_server_that_ended_are_served() {
+async fn serves_other_requests_of_a_server_that_ended() {
     let system = System::start(PLAN).await;
     let other = |number: u8, ms: &str| {
         let request = Request::new("/alert/").body(&format!("other-{number}"));
@@ -119,9 +119,10 @@
     assert_eq!(seen, 2, "servers that ended");
 }
 
-/// A server that fails the request has not done what ends the others.
+/// Covers a server that answers the request with an error. This does not show that the request is
+/// harmless, because the server has not run the part that ends the others.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_failure_that_a_server_answers_clears_nobody() {
+async fn keeps_the_ends_of_a_request_after_a_server_answered_it_with_an_error() {
     let system = System::start(PLAN).await;
     let mut seen = 0;
     let receipt = || Request::new("/receipt/").body(BODY);
@@ -140,10 +141,10 @@
     assert_eq!(system.ends(None).await.len(), 2);
 }
 
-/// The port of a server that ends is open for longer than its connections, so
-/// that the first look finds it alive.
+/// Covers a server whose port stays open for longer than its connections, so that the first check
+/// finds the server alive.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_end_that_shows_late_counts() {
+async fn counts_an_end_that_is_detected_late() {
     let system = System::start(PLAN).await;
     let mut seen = 0;
     for gateway in 0..PLAN.gateways {
--- a/tests/tests/refusals.rs
+++ b/tests/tests/refusals.rs
@@ -1,4 +1,4 @@
-//! Bad input gets one clear, typed answer at once and costs nobody anything.
+//! Bad input is rejected at once with a typed error and does not affect other requests.
 
 #![allow(clippy::unwrap_used, reason = "a test that fails may panic")]
 
@@ -7,7 +7,7 @@
 
 const CHAT: &str = "/v1/chat/completions";
 
-async fn small() -> cluster::Cluster {
+async fn start_small() -> cluster::Cluster {
     let plan = cluster::Plan {
         zones: vec!["sala-braga"],
         entries: 1,
@@ -18,8 +18,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn bad_input_is_refused_with_its_type() {
-    let cluster = small().await;
+async fn rejects_bad_input_with_its_type() {
+    let cluster = start_small().await;
     let host = cluster.entries().remove(0);
     let caller = cluster.caller(&host);
     let stranger =
@@ -29,7 +29,7 @@
     let long = "x".repeat(20_000);
     let key = uuid::Uuid::now_v7().to_string();
     let old = uuid::Uuid::new_v7(uuid::Timestamp::from_unix(uuid::NoContext, 1_000, 0)).to_string();
-    let ask = |headers: Vec<(&'static str, String)>, path: &'static str, body: String| {
+    let post = |headers: Vec<(&'static str, String)>, path: &'static str, body: String| {
         let caller = caller.clone();
         async move {
             let headers: Vec<(&str, &str)> =
@@ -38,33 +38,33 @@
             (answer.status, answer.kind(), answer.outcome())
         }
     };
-    let told = |status: u16, kind: &str| (status, kind.to_owned(), "not-run".to_owned());
-    assert_eq!(ask(vec![], CHAT, big).await, told(413, "body-too-large"));
-    assert_eq!(ask(vec![], CHAT, "{".into()).await, told(400, "malformed-body"));
+    let rejected = |status: u16, kind: &str| (status, kind.to_owned(), "not-run".to_owned());
+    assert_eq!(post(vec![], CHAT, big).await, rejected(413, "body-too-large"));
+    assert_eq!(post(vec![], CHAT, "{".into()).await, rejected(400, "malformed-body"));
     let unknown = caller::prompt("no-such-model", false, 1);
-    assert_eq!(ask(vec![], CHAT, unknown).await, told(404, "unknown-model"));
-    assert_eq!(ask(vec![], "/services/none/x", "".into()).await, told(404, "unknown-service"));
-    assert_eq!(ask(vec![], "/elsewhere", "".into()).await, told(404, "unknown-path"));
+    assert_eq!(post(vec![], CHAT, unknown).await, rejected(404, "unknown-model"));
+    assert_eq!(post(vec![], "/services/none/x", "".into()).await, rejected(404, "unknown-service"));
+    assert_eq!(post(vec![], "/elsewhere", "".into()).await, rejected(404, "unknown-path"));
     let header = |name: &'static str, value: &str| vec![(name, value.to_owned())];
     assert_eq!(
-        ask(header("x-long", &long), CHAT, prompt.clone()).await,
-        told(431, "headers-too-large")
+        post(header("x-long", &long), CHAT, prompt.clone()).await,
+        rejected(431, "headers-too-large")
     );
     let class = header("loftcove-class", "no-such-class");
-    assert_eq!(ask(class, CHAT, prompt.clone()).await, told(400, "unknown-class"));
+    assert_eq!(post(class, CHAT, prompt.clone()).await, rejected(400, "unknown-class"));
     let late = header("loftcove-deadline-ms", "0");
-    assert_eq!(ask(late, CHAT, prompt.clone()).await, told(504, "deadline"));
+    assert_eq!(post(late, CHAT, prompt.clone()).await, rejected(504, "deadline"));
     let path = "/services/gateway-sms/send";
     assert_eq!(
-        ask(header("idempotency-key", "17"), path, "".into()).await,
-        told(400, "malformed-key")
+        post(header("idempotency-key", "17"), path, "".into()).await,
+        rejected(400, "malformed-key")
     );
-    let (status, kind, outcome) = ask(header("idempotency-key", &old), path, "".into()).await;
+    let (status, kind, outcome) = post(header("idempotency-key", &old), path, "".into()).await;
     assert_eq!((status, kind.as_str(), outcome.as_str()), (409, "key-unknown", "unknown"));
-    assert_eq!(ask(header("idempotency-key", &key), path, "a".into()).await.2, "answered");
+    assert_eq!(post(header("idempotency-key", &key), path, "a".into()).await.2, "answered");
     assert_eq!(
-        ask(header("idempotency-key", &key), path, "b".into()).await,
-        told(422, "key-reused")
+        post(header("idempotency-key", &key), path, "b".into()).await,
+        rejected(422, "key-reused")
     );
     let crossed = uuid::Uuid::now_v7().to_string();
     let answer = caller.deliver(cluster::SERVICE, &crossed, &[("x-standin-cross", "1")]).await;
@@ -76,8 +76,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_broken_answer_is_never_whole_and_a_caller_that_leaves_frees_its_slot() {
-    let cluster = small().await;
+async fn marks_broken_answers_and_frees_the_slot_of_a_disconnected_caller() {
+    let cluster = start_small().await;
     let host = cluster.entries().remove(0);
     let caller = cluster.caller(&host);
     let engine = cluster.server_caller("rank-sala-braga-0-host");
@@ -91,21 +91,24 @@
     let running = || async { engine.read("/load").await["running"].as_u64() };
     until("the engine runs the request", || async { running().await == Some(1) }).await;
     drop(response);
-    until("the engine is told that the caller left", || async { running().await == Some(0) }).await;
+    until("the engine has cancelled the request of the caller that left", || async {
+        running().await == Some(0)
+    })
+    .await;
     until("the entry host's count falls", || async {
         cluster.status().await[&host]["in_flight"] == 0
     })
     .await;
-    // A deadline that passes in mid-stream ends the answer as broken, too.
+    // A deadline that expires in mid-stream breaks the answer off, too.
     let short = caller.request("POST", CHAT, &[("loftcove-deadline-ms", "300")], &endless).await;
     assert!(!short.complete && short.body.contains("answer-lost"), "{short:?}");
-    until("the late request is cancelled", || async { running().await == Some(0) }).await;
+    until("the expired request is cancelled", || async { running().await == Some(0) }).await;
 }
 
-/// A backend server ends under a request that may be repeated: no second attempt
-/// of ours ends another one, and a request that ended two is refused.
+/// Covers a request that may be repeated and ends its backend server. The entry host does not
+/// retry it, so that no other server ends, and rejects it after it has ended two servers.
 #[tokio::test(flavor = "multi_thread")]
-async fn the_same_request_ends_no_third_server() {
+async fn rejects_a_request_that_ended_two_servers() {
     let plan = cluster::Plan {
         zones: vec!["sala-braga"],
         entries: 1,
@@ -116,25 +119,25 @@
     let mut cluster = cluster::Cluster::start(plan).await;
     let caller = cluster.caller(&cluster.entries().remove(0));
     let key = uuid::Uuid::now_v7().to_string();
-    // The class makes it one that may be repeated; the key only names its runs.
+    // The class `draft` allows repeats. The key only identifies the runs of the request.
     let headers =
         [("loftcove-class", "draft"), ("idempotency-key", &*key), ("x-standin-end-ms", "50")];
     let path = format!("/services/{}/send", cluster::SERVICE);
     for ended in 1..=2 {
         let answer = caller.request("POST", &path, &headers, "ends its server").await;
         assert_eq!((answer.status, answer.outcome().as_str()), (502, "unknown"), "{answer:?}");
-        assert_eq!(gone(&mut cluster).await, ended);
+        assert_eq!(count_ended(&mut cluster).await, ended);
     }
     let answer = caller.request("POST", &path, &headers, "ends its server").await;
     assert_eq!((answer.status, answer.kind()), (502, "ends-servers".to_owned()));
-    assert_eq!(gone(&mut cluster).await, 2);
+    assert_eq!(count_ended(&mut cluster).await, 2);
     let other = [("loftcove-class", "draft"), ("idempotency-key", &*key)];
     assert_eq!(caller.request("POST", &path, &other, "another").await.status, 200);
 }
 
-/// A backend server behind its agent says something of itself in an answer with that
-/// status, and the other one gets all.
-async fn others_serve_after(said: (&str, &str), status: u16) {
+/// Checks that an answer with the given status, in which one backend server reports a state of its
+/// own, moves all further calls to the other server.
+async fn check_others_serve(header: (&str, &str), status: u16) {
     let plan = cluster::Plan {
         zones: vec!["sala-braga"],
         entries: 1,
@@ -145,7 +148,7 @@
     let cluster = cluster::Cluster::start(plan).await;
     let caller = cluster.caller(&cluster.entries().remove(0));
     let key = uuid::Uuid::now_v7().to_string();
-    let headers = [said, ("idempotency-key", &*key)];
+    let headers = [header, ("idempotency-key", &*key)];
     let path = format!("/services/{}/send", cluster::SERVICE);
     let answer = caller.request("POST", &path, &headers, "").await;
     assert_eq!(answer.status, status, "{answer:?}");
@@ -162,16 +165,16 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_backend_server_that_asks_for_rest_gets_it() {
-    others_serve_after(("x-standin-shed", "600"), 503).await;
+async fn sends_no_request_to_a_backend_server_that_asked_for_rest() {
+    check_others_serve(("x-standin-shed", "600"), 503).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_backend_server_that_names_a_limit_gets_no_more() {
-    others_serve_after(("x-standin-limit", "0.1"), 200).await;
+async fn sends_no_request_beyond_the_limit_of_a_backend_server() {
+    check_others_serve(("x-standin-limit", "0.1"), 200).await;
 }
 
-/// Calls that each backend server of the service has done.
+/// Returns the number of calls that each backend server of the service has run.
 async fn runs(cluster: &cluster::Cluster) -> Vec<usize> {
     let mut runs = Vec::new();
     for agent in cluster.agents(cluster::SERVICE) {
@@ -181,7 +184,7 @@
     runs
 }
 
-/// Backend servers that have ended.
-async fn gone(cluster: &mut cluster::Cluster) -> usize {
+/// Returns the number of backend servers that have ended.
+async fn count_ended(cluster: &mut cluster::Cluster) -> usize {
     cluster.servers.values_mut().filter_map(|server| server.has_exited().then_some(())).count()
 }
--- a/tests/tests/rest.rs
+++ b/tests/tests/rest.rs
@@ -1,14 +1,11 @@
-//! Backend servers had asked for rest, and got requests all the same.
+//! Gateways send no requests to backend servers that have asked for a rest or that leave.
 //!
-//! Seen: a server refused a request of a gateway and asked it for 3 s of rest,
-//! and got up to seven requests from it in that time, as did its neighbours.
-//! How: each refusal shut it for a third of a second at the most; then it looked
-//! idle, as it refused all, and was chosen before servers with room.
-//! Cause: how long to stay away was read as "no room" alone, and a figure of our
-//! own stood in its place.
-//! Proof: servers that wrote down what reached them, in these tests: up to 47
-//! requests of one gateway in 2 s of rest, spread over all of it, while no entry
-//! of a server changed.
+//! Guards against a server that refused a request, asked its gateway for 3 s of rest and received
+//! up to seven requests from it in that time, as did its neighbours. The gateway read the refusal
+//! as "no room" only and replaced the requested time by its own, a third of a second at most.
+//! Afterwards the server seemed idle, because it refused all requests, and was selected before
+//! servers with room. In these tests, the servers recorded up to 47 requests of one gateway
+//! throughout 2 s of rest, while no server's entry changed.
 
 #![allow(clippy::unwrap_used, reason = "a test that fails may panic")]
 
@@ -24,23 +21,28 @@
 const PLAN: Plan =
     Plan { gateways: 3, ranks: 4, groups: 1, plain: 3, sidecars: false, proxied: false };
 
-/// Callers at each gateway, and how often each asks: their requests come for
-/// some three seconds, which is longer than the rest that is asked for.
+/// Number of callers at each gateway.
 const CALLERS: usize = 6;
-/// See [`CALLERS`].
+/// Number of requests of each caller. They take about three seconds, which is longer than the
+/// rest that the server asks for.
 const REQUESTS: usize = 60;
 
 fn now() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis() as u64
 }
 
-/// The lock-step group, or the plain servers.
+/// Returns the lock-step group, or `None` for the plain servers.
 fn group(ranks: bool) -> Option<u8> {
     ranks.then_some(0)
 }
 
-/// Asks one request after the other; returns them with their statuses.
-async fn ask(system: &System, gateway: u8, ranks: bool, count: usize) -> Vec<(String, Sent, u16)> {
+/// Sends requests one after another and returns them with their statuses.
+async fn send_all(
+    system: &System,
+    gateway: u8,
+    ranks: bool,
+    count: usize,
+) -> Vec<(String, Sent, u16)> {
     let mut all = Vec::new();
     for _ in 0..count {
         let (request, at) = (Request::short(ranks), now());
@@ -50,18 +52,19 @@
     all
 }
 
-/// Callers ask at all gateways at the same time; returns what they sent, and how
-/// many were not served.
+/// Runs callers of all gateways concurrently. Returns the requests and the number of those that
+/// were not served.
 async fn load(system: &System, ranks: bool) -> (BTreeMap<String, Sent>, usize) {
     let callers = (0..PLAN.gateways).flat_map(|gateway| [gateway; CALLERS]);
-    let asked = future::join_all(callers.map(|gateway| ask(system, gateway, ranks, REQUESTS)));
-    let asked: Vec<_> = asked.await.into_iter().flatten().collect();
-    let unserved = asked.iter().filter(|(_, _, status)| *status != 200).count();
-    (asked.into_iter().map(|(id, sent, _)| (id, sent)).collect(), unserved)
+    let sent = future::join_all(callers.map(|gateway| send_all(system, gateway, ranks, REQUESTS)));
+    let sent: Vec<_> = sent.await.into_iter().flatten().collect();
+    let unserved = sent.iter().filter(|(_, _, status)| *status != 200).count();
+    (sent.into_iter().map(|(id, sent, _)| (id, sent)).collect(), unserved)
 }
 
-/// One server sheds every other request and asks for two seconds of rest.
-async fn rests(ranks: bool) {
+/// Checks that gateways respect a server that refuses every second request and asks for two
+/// seconds of rest.
+async fn check_rest(ranks: bool) {
     let system = System::start(PLAN).await;
     let server = if ranks { "rank-1" } else { "plain-1" };
     system.servers_control(group(ranks), &format!("/shed?server={server}&each=2&rest=2")).await;
@@ -73,53 +76,57 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_plain_server_that_asks_for_rest_gets_it() {
-    rests(false).await;
+async fn respects_the_rest_of_a_plain_server() {
+    check_rest(false).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_rank_that_asks_for_rest_gets_it() {
-    rests(true).await;
+async fn respects_the_rest_of_a_rank() {
+    check_rest(true).await;
 }
 
-/// A server says in its answers that it leaves; the store does not tell.
-async fn leaves(ranks: bool) {
+/// Checks that gateways drain a server that reports only in its answers, and not in the store,
+/// that it leaves.
+async fn check_leave(ranks: bool) {
     let system = System::start(PLAN).await;
     let server = if ranks { "rank-1" } else { "plain-1" };
     system.servers_control(group(ranks), &format!("/leave?server={server}&on=1")).await;
     let (sent, unserved) = load(&system, ranks).await;
     let visits = system.visits().await;
-    assert!(visits.iter().any(|visit| visit.leaving), "no answer told it");
+    assert!(visits.iter().any(|visit| visit.leaving), "no answer reported the leave");
     assert_eq!(visits::worst(visits::drain_violations(&visits, &sent, &NoExemption)), None);
     assert_eq!(unserved, 0, "requests that were not served while other servers had room");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_plain_server_that_leaves_gets_nothing_more() {
-    leaves(false).await;
+async fn drains_a_plain_server_that_leaves() {
+    check_leave(false).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_rank_that_leaves_gets_nothing_more() {
-    leaves(true).await;
+async fn drains_a_rank_that_leaves() {
+    check_leave(true).await;
 }
 
-/// Seen: a server that started again was left out for the rest of its life at
-/// gateways that had heard it leave before. Cause: the time of its start, by its
-/// own clock, was held against the time at which a gateway had heard of it.
+/// Guards against a restarted server that stayed excluded for its whole run at gateways that had
+/// received its earlier leave. They compared the start time by the server's clock with the time,
+/// by their own clock, at which they had received the leave.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_server_that_starts_again_serves_whatever_its_clock() {
+async fn uses_a_restarted_server_whose_clock_is_behind() {
     let system = System::start(PLAN).await;
-    // Its clock is far behind.
+    // Start times of 1 ms and 2 ms: the server's clock is far behind.
     let start = |born| system.put_entry_of_run("plain-1", SMS, system.plain_address(1), born);
     start(1).await;
     let leave = |on: u8| format!("/leave?server=plain-1&on={on}");
     system.servers_control(None, &leave(1)).await;
     load(&system, false).await;
-    assert!(system.visits().await.iter().any(|visit| visit.leaving), "no answer told it");
+    assert!(
+        system.visits().await.iter().any(|visit| visit.leaving),
+        "no answer reported the leave"
+    );
     system.servers_control(None, &leave(0)).await;
     start(2).await;
-    until("all gateways send to it again", || async {
+    until("all gateways send to the server again", || async {
         let (sent, _) = load(&system, false).await;
         let visits = system.visits().await;
         let again = |gateway| {
@@ -132,7 +139,7 @@
     .await;
 }
 
-/// Asks once; returns whether that reached the server `plain-1`.
+/// Sends one request and returns whether it reached the server `plain-1`.
 async fn reaches(system: &System, sent: &mut BTreeMap<String, Sent>, request: Request) -> bool {
     let at = now();
     system.request(0, &request).await;
@@ -142,10 +149,10 @@
     reached
 }
 
-/// Seen: the check counted from a request to which the server had given no answer,
-/// so that its gateway knew nothing.
+/// Guards against a check that started its count at a request without an answer. The gateway
+/// could not have learnt from it that the server leaves.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_server_whose_answer_is_lost_has_told_nothing() {
+async fn does_not_count_a_lost_answer_as_a_leave() {
     let system = System::start(PLAN).await;
     system.servers_control(None, "/leave?server=plain-1&on=1").await;
     let mut sent = BTreeMap::new();
--- a/tests/tests/stop_steps.rs
+++ b/tests/tests/stop_steps.rs
@@ -1,9 +1,10 @@
-//! A planned stop against requests that come at any of its steps.
+//! A planned stop cuts no request off, at whichever of its steps the request arrives.
 //!
-//! Seen once, in a soak: a connection ended without an answer though its request had reached
-//! a backend server. The steps of a stop (the platform has noticed, the last request is taken,
-//! the grace ends) are met here by requests of every kind and length, on kept connections and
-//! on new ones, at drawn times; every stop is begun at another moment of theirs.
+//! Guards against a fault that a soak run showed once: a connection ended without an answer
+//! although its request had reached a backend server. The steps of a stop are that the platform
+//! detects it, that the gateway accepts the last request, and that the grace time ends. Requests of
+//! all kinds and lengths arrive at random times, on open and on new connections, and each gateway
+//! is stopped at another time.
 
 #![allow(clippy::unwrap_used, reason = "a test that fails may panic")]
 
@@ -21,28 +22,29 @@
 const PLAN: Plan =
     Plan { gateways: 6, ranks: 4, groups: 1, plain: 3, sidecars: false, proxied: false };
 
-/// Callers of each gateway.
+/// Number of callers of each gateway.
 const CALLERS: u64 = 12;
-/// Time for which they ask: a second before the first stop, and until the last one has ended.
-const TIME: Duration = Duration::from_secs(12);
-/// Time between the stops of two gateways, which is no multiple of a step's.
-const APART: Duration = Duration::from_millis(137);
-/// Longest time that a request takes at its server: a little less than its deadline.
+/// Time for which callers send requests, from a second before the first stop until the last stop
+/// has ended.
+const LOAD_TIME: Duration = Duration::from_secs(12);
+/// Time between the stops of two gateways. It is no multiple of the duration of a step.
+const STOP_INTERVAL: Duration = Duration::from_millis(137);
+/// Maximum duration of a request at its server, which is slightly less than its deadline.
 const LONGEST_MS: u64 = 2_800;
-/// Longest pause between two requests of a caller.
+/// Maximum pause between two requests of a caller.
 const PAUSE_MS: u64 = 40;
 
-/// What a caller saw of a request.
+/// Result of a request at its caller.
 struct Seen {
     id: String,
-    /// Status, or none if the connection ended without an answer.
+    /// HTTP status, or `None` if the connection ended without an answer.
     status: Option<u16>,
-    /// Time from the begin of all until it was sent.
+    /// Time from the begin of the load until the request was sent.
     at: Duration,
 }
 
-/// A request of a drawn kind and length; half of them are short.
-fn draw(rng: &mut ChaCha8Rng) -> Request {
+/// Returns a request of a random kind and duration. Half of all requests are short.
+fn random_request(rng: &mut ChaCha8Rng) -> Request {
     let longest = if rng.random_bool(0.5) { 60 } else { LONGEST_MS };
     let ms = rng.random_range(1..longest);
     match rng.random_range(0..3) {
@@ -52,32 +54,32 @@
     }
 }
 
-/// Asks one gateway again and again, mostly over the connection that it has.
-async fn ask(address: SocketAddr, begin: Instant, seed: u64) -> Vec<Seen> {
+/// Sends requests to one gateway, mostly over an open connection.
+async fn send_all(address: SocketAddr, begin: Instant, seed: u64) -> Vec<Seen> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let mut kept: Option<Client> = None;
+    let mut open: Option<Client> = None;
     let mut all = Vec::new();
-    while begin.elapsed() < TIME {
+    while begin.elapsed() < LOAD_TIME {
         tokio::time::sleep(Duration::from_millis(rng.random_range(0..PAUSE_MS))).await;
-        let connected = match kept.take().filter(|_| rng.random_bool(0.8)) {
-            Some(kept) => Some(kept),
+        let connected = match open.take().filter(|_| rng.random_bool(0.8)) {
+            Some(open) => Some(open),
             None => Client::connect(address).await,
         };
         let Some(mut client) = connected else { continue };
-        let (request, at) = (draw(&mut rng), begin.elapsed());
+        let (request, at) = (random_request(&mut rng), begin.elapsed());
         let response = client.send(&request).await;
         let status = response.as_ref().map(|response| response.status().as_u16());
         if let Some(response) = response
             && client::read(response).await.1
         {
-            kept = Some(client);
+            open = Some(client);
         }
         all.push(Seen { id: request.id, status, at });
     }
     all
 }
 
-/// Fails if a request that reached a server has no answer, or one that says that it did not run.
+/// Fails if a request that reached a server has no answer or one that reports that it did not run.
 fn check(arrivals: &[serde_json::Value], seen: &[Seen]) {
     let arrived = |id: &str| arrivals.iter().any(|it| it["headers"]["x-attempt-id"] == id);
     for Seen { id, status, at } in seen {
@@ -87,19 +89,19 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stop_cuts_no_request_off_whenever_it_comes() {
+async fn cuts_no_request_off_at_any_step_of_a_stop() {
     let mut system = System::start(PLAN).await;
     let begin = Instant::now();
     let callers: Vec<_> = (0..u64::from(PLAN.gateways) * CALLERS)
         .map(|caller| {
             let gateway = (caller % u64::from(PLAN.gateways)) as u8;
-            tokio::spawn(ask(system.client_address(gateway), begin, caller))
+            tokio::spawn(send_all(system.client_address(gateway), begin, caller))
         })
         .collect();
     tokio::time::sleep(Duration::from_secs(1)).await;
     for gateway in &system.gateways {
         gateway.signal(libc::SIGTERM);
-        tokio::time::sleep(APART).await;
+        tokio::time::sleep(STOP_INTERVAL).await;
     }
     let seen: Vec<Seen> =
         future::join_all(callers).await.into_iter().flat_map(Result::unwrap).collect();
@@ -111,22 +113,22 @@
     }
 }
 
-/// Time after the signal at which an idle gateway ends at the earliest.
+/// Minimum time between the signal and the exit of an idle gateway.
 const IDLE_END: Duration = Duration::from_millis(2_300);
-/// Time between the bursts of two gateways: together they cover more than the time between two
-/// looks whether a gateway is idle.
-const STEP: Duration = Duration::from_millis(12);
-/// Requests of a burst, each on a connection of its own.
+/// Time between the bursts of two gateways. Together the bursts cover more than the interval at
+/// which a gateway checks whether it is idle.
+const BURST_INTERVAL: Duration = Duration::from_millis(12);
+/// Number of requests of a burst, each on a new connection.
 const BURST: usize = 12;
 
-/// Seen: a gateway had found itself idle and closed, and took a new connection 50 ms later,
-/// half a millisecond before its process ended.
+/// Guards against a gateway that had detected that it was idle, had closed, and accepted a new
+/// connection 50 ms later, half a millisecond before its process exited.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stop_cuts_no_request_off_that_comes_as_it_ends() {
+async fn cuts_no_request_off_that_arrives_as_the_process_exits() {
     let mut system = System::start(PLAN).await;
     system.gateways.iter().for_each(|gateway| gateway.signal(libc::SIGTERM));
     let begin = Instant::now();
-    let ask = |gateway: u8, at: Duration| {
+    let send = |gateway: u8, at: Duration| {
         let address = system.client_address(gateway);
         async move {
             tokio::time::sleep_until((begin + at).into()).await;
@@ -137,12 +139,12 @@
             Some(Seen { id: request.id, status, at })
         }
     };
-    let asks = (0..PLAN.gateways).flat_map(|gateway| {
-        let at = IDLE_END + STEP * u32::from(gateway);
+    let requests = (0..PLAN.gateways).flat_map(|gateway| {
+        let at = IDLE_END + BURST_INTERVAL * u32::from(gateway);
         (0..BURST).map(move |number| (gateway, at + Duration::from_micros(500) * number as u32))
     });
-    let asks: Vec<_> = asks.map(|(gateway, at)| tokio::spawn(ask(gateway, at))).collect();
-    let seen = future::join_all(asks).await.into_iter().filter_map(Result::unwrap);
+    let requests: Vec<_> = requests.map(|(gateway, at)| tokio::spawn(send(gateway, at))).collect();
+    let seen = future::join_all(requests).await.into_iter().filter_map(Result::unwrap);
     check(&system.all_arrivals().await, &seen.collect::<Vec<_>>());
     for gateway in &mut system.gateways {
         assert!(gateway.wait().await);
--- a/tests/tests/stopping.rs
+++ b/tests/tests/stopping.rs
@@ -1,7 +1,7 @@
-//! A planned stop of a gateway cuts off nothing that it has taken.
+//! A planned stop of a gateway cuts off no request that the gateway has accepted.
 //!
-//! Seen: a request that was passed on was cut off as its gateway ended. Cause: it
-//! was taken between the look that nothing is in flight and the end of the
+//! Guards against a request that was passed on to a server and cut off as its gateway exited. The
+//! gateway had accepted it after the check that nothing is in flight and before the exit of the
 //! process.
 
 #![allow(clippy::unwrap_used, reason = "a test that fails may panic")]
@@ -17,14 +17,14 @@
 const PLAN: Plan =
     Plan { gateways: 2, ranks: 4, groups: 1, plain: 2, sidecars: false, proxied: false };
 
-/// Longest time that a gateway takes to stop.
+/// Maximum time that a gateway takes to stop.
 const GRACE: Duration = Duration::from_secs(8);
-/// Time between two requests: a look falls between them, and the next one comes
-/// before the process has ended.
+/// Pause between two requests. The gateway checks for requests in flight during a pause, and the
+/// next request arrives before the process has exited.
 const PAUSE: Duration = Duration::from_millis(25);
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stop_cuts_nothing_off_that_comes_as_it_ends() {
+async fn cuts_no_request_off_that_arrives_as_the_gateway_exits() {
     let mut system = System::start(PLAN).await;
     system.gateways[0].signal(libc::SIGTERM);
     let began = std::time::Instant::now();
@@ -46,28 +46,31 @@
     assert!(system.gateways[0].wait().await);
 }
 
-/// Events of an answer of some 200 KB: it fits no window, and is held whole.
+/// Number of events of an answer of about 200 KB. It exceeds any window, and the gateway buffers
+/// all of it.
 const EVENTS: &str = "6000";
-/// Time after the signal at which the answer is asked for: the gateway still serves.
-const ASKED: Duration = Duration::from_millis(1_800);
-/// Time after which its client reads on: the gateway has found itself idle.
-const READ_ON: Duration = Duration::from_millis(1_500);
+/// Time between the signal and the request. The gateway still serves.
+const REQUEST_DELAY: Duration = Duration::from_millis(1_800);
+/// Time after which the client continues to read. The gateway has detected by then that it is
+/// idle.
+const READ_DELAY: Duration = Duration::from_millis(1_500);
 
-/// Seen: the end of an answer was cut off as its gateway stopped. Cause: a request
-/// counted as done once its answer was handed to the connection, and what was not
-/// yet written was lost with the process.
+/// Guards against an answer whose end was cut off as its gateway stopped. A request counted as
+/// done once its answer was passed to the connection, and unwritten bytes were lost with the
+/// process.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stop_writes_answers_out_to_clients_behind_a_small_window() {
+async fn completes_answers_to_clients_with_a_small_window() {
     let mut system = System::start(PLAN).await;
     let mut stream = client::connect_with_small_window(system.client_address(0)).await;
     system.gateways[0].signal(libc::SIGTERM);
-    tokio::time::sleep(ASKED).await;
+    tokio::time::sleep(REQUEST_DELAY).await;
     let request = Request::new("/alert/").with("x-standin-events", EVENTS);
     stream.write_all(request.text().as_bytes()).await.unwrap();
-    until("it was passed on", || async { system.arrivals(&request.id).await.len() == 1 }).await;
-    tokio::time::sleep(READ_ON).await;
+    until("the request was passed on", || async { system.arrivals(&request.id).await.len() == 1 })
+        .await;
+    tokio::time::sleep(READ_DELAY).await;
     let mut answer = Vec::new();
-    // A reset is an answer that is not whole, as an early end is.
+    // The assertions below detect a reset, which leaves the answer incomplete.
     stream.read_to_end(&mut answer).await.ok();
     let answer = String::from_utf8(answer).unwrap();
     assert!(answer.starts_with("HTTP/1.1 200 "), "{}", &answer[..answer.len().min(80)]);
@@ -76,34 +79,34 @@
     assert!(system.gateways[0].wait().await);
 }
 
-/// Sends a part of a request while its gateway serves, and the rest as it closes;
-/// returns what came back.
-async fn ask_in_two_parts(system: &System, gateway: u8, text: &str, at: usize) -> String {
+/// Sends a part of a request while its gateway serves and the rest as it closes. Returns the
+/// answer.
+async fn send_in_two_parts(system: &System, gateway: u8, text: &str, at: usize) -> String {
     let address = system.client_address(gateway);
     let mut stream = tokio::net::TcpStream::connect(address).await.unwrap();
-    tokio::time::sleep(ASKED).await;
+    tokio::time::sleep(REQUEST_DELAY).await;
     stream.write_all(&text.as_bytes()[..at]).await.unwrap();
-    tokio::time::sleep(READ_ON).await;
+    tokio::time::sleep(READ_DELAY).await;
     let mut answer = String::new();
-    // Where the gateway has closed, there is no answer.
+    // Errors are ignored: if the gateway has closed the connection, there is no answer.
     stream.write_all(&text.as_bytes()[at..]).await.ok();
     stream.read_to_string(&mut answer).await.ok();
     answer
 }
 
-/// The states in which a request may be as its gateway closes: nothing of it read,
-/// a part of its head, and, at a gateway that waits for it, a part of its body.
+/// Covers the states of a request as its gateway closes: the gateway has read nothing, a part of
+/// the head, or a part of the body, for which it waits.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stop_answers_what_it_has_begun_to_read() {
+async fn answers_requests_that_it_has_begun_to_read() {
     let mut system = System::start(PLAN).await;
     system.gateways[0].signal(libc::SIGTERM);
     system.gateways[1].signal(libc::SIGTERM);
     let requests = [(); 3].map(|()| Request::new("/alert/"));
     let texts = requests.each_ref().map(Request::text);
     let (unread, head, body) = tokio::join!(
-        ask_in_two_parts(&system, 0, &texts[0], 0),
-        ask_in_two_parts(&system, 0, &texts[1], texts[1].len() / 2),
-        ask_in_two_parts(&system, 1, &texts[2], texts[2].len() - 2),
+        send_in_two_parts(&system, 0, &texts[0], 0),
+        send_in_two_parts(&system, 0, &texts[1], texts[1].len() / 2),
+        send_in_two_parts(&system, 1, &texts[2], texts[2].len() - 2),
     );
     assert_eq!(unread, "");
     assert!(head.starts_with("HTTP/1.1 503 "), "{head}");
--- a/tests/tests/stops.rs
+++ b/tests/tests/stops.rs
@@ -1,4 +1,4 @@
-//! A planned stop cuts nothing off, and what leaves gets nothing new.
+//! A planned stop of a process cuts no answer off, and a leaving process receives no new requests.
 
 #![allow(clippy::unwrap_used, reason = "a test that fails may panic")]
 
@@ -16,9 +16,9 @@
     cut: AtomicU64,
 }
 
-/// Chats through one entry host after the other; one that refuses or is not
-/// there is left for the next, as a balancer would.
-async fn chat_on(callers: Vec<caller::Caller>, counts: Arc<Counts>, stop: Arc<AtomicBool>) {
+/// Sends chats to the entry hosts in turn, until stopped. If an entry host rejects a chat or is
+/// unreachable, the next chat goes to the next one, as with a load balancer.
+async fn send_chats(callers: Vec<caller::Caller>, counts: Arc<Counts>, stop: Arc<AtomicBool>) {
     let mut turn = 0;
     while !stop.load(Ordering::Relaxed) {
         turn += 1;
@@ -29,13 +29,13 @@
             _ => &counts.refused,
         };
         count.fetch_add(1, Ordering::Relaxed);
-        // A refusal is followed by another entry host at once.
+        // After a refusal, the next entry host is tried without a delay.
         tokio::task::yield_now().await;
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_rolling_restart_of_the_whole_fleet_cuts_nothing() {
+async fn cuts_no_answer_off_during_a_rolling_restart() {
     let mut cluster = cluster::Cluster::start(cluster::Plan::default()).await;
     let counts: Arc<Counts> = Arc::default();
     let stop: Arc<AtomicBool> = Arc::default();
@@ -46,7 +46,7 @@
             let mut callers = callers.clone();
             let count = callers.len();
             callers.rotate_left(first % count);
-            tokio::spawn(chat_on(callers, counts.clone(), stop.clone()))
+            tokio::spawn(send_chats(callers, counts.clone(), stop.clone()))
         })
         .collect();
     let hosts: Vec<String> = cluster.members.keys().cloned().collect();
@@ -73,7 +73,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn what_leaves_gets_nothing_new() {
+async fn sends_no_new_request_to_a_leaving_process() {
     let mut cluster = cluster::Cluster::start(cluster::Plan::default()).await;
     let entry = cluster.entries().remove(0);
     let caller = cluster.caller(&entry);
@@ -85,7 +85,7 @@
             runs.as_object().map_or(0, serde_json::Map::len)
         }
     };
-    // By the host list: once it has spread, the host gets nothing new.
+    // The host list marks a host as leaving. The host then receives no new calls.
     cluster.set_leaving(&agents[0], true).await;
     until("the entry host knows", || async {
         state(&cluster, &entry, &agents[0]).await == "leaving"
@@ -98,8 +98,11 @@
     }
     assert_eq!(ran(&cluster, &agents[0]).await, before);
     cluster.set_leaving(&agents[0], false).await;
-    until("it is back", || async { state(&cluster, &entry, &agents[0]).await == "usable" }).await;
-    // By the bundle.
+    until("the host is usable again", || async {
+        state(&cluster, &entry, &agents[0]).await == "usable"
+    })
+    .await;
+    // The bundle marks the host as leaving.
     let text = cluster.bundle(&format!("leaving = [\"{}\"]", agents[0]));
     let digest = cluster.propose("ana", "leaving.toml", &text).await;
     cluster.tool("bruno", &["bundle", "approve", &digest]).await;
@@ -108,7 +111,7 @@
         state(&cluster, &agents[0], &agents[0]).await == "leaving"
     })
     .await;
-    // By the agent's own signal, with a call in flight that must end well.
+    // An agent receives a signal to stop. The call in flight must complete.
     let key = uuid::Uuid::now_v7().to_string();
     let slow = {
         let (caller, key) = (caller.clone(), key.clone());
@@ -118,32 +121,35 @@
     };
     until("the call runs", || async { cluster.runs(&key).await == 1 }).await;
     cluster.members[&agents[1]].process.signal(libc::SIGTERM);
-    until("nothing is left to take calls", || async {
+    until("no agent accepts calls", || async {
         let key = uuid::Uuid::now_v7().to_string();
         let answer = caller.deliver(cluster::SERVICE, &key, &[]).await;
         answer.outcome() == "not-run" && cluster.runs(&key).await == 0
     })
     .await;
     assert_eq!(slow.await.unwrap().outcome(), "answered");
-    // The second signal ends at once, whatever is in flight.
+    // The second signal stops the process at once, even with requests in flight.
     let endless = caller::prompt(cluster::MODEL, true, 1_000_000);
     let open = caller.open("POST", "/v1/chat/completions", &[], &endless).await;
     assert_eq!(open.as_ref().unwrap().status(), 200);
     let process = &mut cluster.members.get_mut(&entry).unwrap().process;
     process.signal(libc::SIGTERM);
-    until("it drains", || async { process.log().iter().any(|line| line.contains("drain")) }).await;
+    until("the entry host drains", || async {
+        process.log().iter().any(|line| line.contains("drain"))
+    })
+    .await;
     process.signal(libc::SIGTERM);
     assert!(process.wait().await);
 }
 
-/// Bytes of an answer that fits no small window and is held whole.
-const LONG: usize = 200_000;
-/// Time after the signal at which its client reads on: the entry host is idle.
-const READ_ON: Duration = Duration::from_millis(500);
+/// Size in bytes of an answer that exceeds a small window and that the entry host buffers.
+const ANSWER_BYTES: usize = 200_000;
+/// Time between the signal and the client's next read. The entry host is idle by then.
+const READ_DELAY: Duration = Duration::from_millis(500);
 
-/// An answer counts as in flight until its connection has taken all of it.
+/// Checks that an answer counts as in flight until its connection has written all of it.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stop_writes_answers_out_to_callers_behind_a_small_window() {
+async fn completes_answers_to_callers_with_a_small_window() {
     let mut cluster = cluster::Cluster::start(cluster::Plan::default()).await;
     let entry = cluster.entries().remove(0);
     let address = cluster.members[&entry].http_address.unwrap();
@@ -152,7 +158,7 @@
     let (service, token) = (cluster::SERVICE, cluster::TOKEN);
     let request = format!(
         "POST /services/{service}/send HTTP/1.1\r\nhost: entry\r\nauthorization: Bearer {token}\r\n\
-         idempotency-key: {key}\r\nx-standin-bytes: {LONG}\r\ncontent-length: 2\r\n\r\n{{}}"
+         idempotency-key: {key}\r\nx-standin-bytes: {ANSWER_BYTES}\r\ncontent-length: 2\r\n\r\n{{}}"
     );
     stream.write_all(request.as_bytes()).await.unwrap();
     until("the call ran", || async { cluster.runs(&key).await == 1 }).await;
@@ -160,10 +166,10 @@
     stream.read_exact(&mut answer).await.unwrap();
     let process = &mut cluster.members.get_mut(&entry).unwrap().process;
     process.signal(libc::SIGTERM);
-    tokio::time::sleep(READ_ON).await;
-    // A reset is an answer that is not whole, as an early end is.
+    tokio::time::sleep(READ_DELAY).await;
+    // The assertion below detects a reset, which leaves the answer incomplete.
     stream.read_to_end(&mut answer).await.ok();
-    assert!(answer.len() > LONG, "cut off after {} bytes", answer.len());
+    assert!(answer.len() > ANSWER_BYTES, "cut off after {} bytes", answer.len());
     assert!(process.wait().await);
 }
 
--- a/tests/tests/stores.rs
+++ b/tests/tests/stores.rs
@@ -1,4 +1,5 @@
-//! The store away for one host, for all, with its answers lost or its history gone.
+//! Gateways tolerate a store that denies one host, is unavailable to all, has compacted its history
+//! or lost entries.
 
 #![allow(clippy::unwrap_used, reason = "a test that fails may panic")]
 
@@ -14,7 +15,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_host_that_the_store_turns_down_hears_from_its_peers() {
+async fn receives_updates_from_peers_when_the_store_denies_a_host() {
     let mut system = System::start(PLAN).await;
     let ip = system.gateway_ip(1);
     system.store_control(&format!("deny?from={ip}")).await;
@@ -23,20 +24,21 @@
     system.configure(2, &["new-key"]).await;
     system.remove("servers/plain-0").await;
     until("the old key is refused", || refused(&system, 1, KEY)).await;
-    until("the new key is taken", || async { !refused(&system, 1, "new-key").await }).await;
-    let heard = |line: &String| line.contains("learnt key=op/config") && line.contains("from=peer");
-    until("the log tells that a peer told it", || async {
-        system.gateways[1].log().iter().any(heard)
+    until("the new key is accepted", || async { !refused(&system, 1, "new-key").await }).await;
+    let learnt =
+        |line: &String| line.contains("learnt key=op/config") && line.contains("from=peer");
+    until("the gateway logs the update from a peer", || async {
+        system.gateways[1].log().iter().any(learnt)
     })
     .await;
     assert!(began.elapsed() < BOUND, "{:?}", began.elapsed());
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn everybody_serves_while_the_store_is_down_and_follows_when_it_is_back() {
+async fn serves_during_a_store_outage_and_applies_updates_afterwards() {
     let mut system = System::start(PLAN).await;
     system.store_control("fault/down").await;
-    until("all have noticed", || async {
+    until("all gateways have detected the outage", || async {
         let lost = |line: &String| line.contains("dependency lost name=store");
         system.gateways.iter().all(|gateway| gateway.log().iter().any(lost))
     })
@@ -47,34 +49,37 @@
     system.configure(2, &["new-key"]).await;
     system.store_control("fault/none").await;
     for gateway in 0..PLAN.gateways {
-        until("the new key is taken", || async { !refused(&system, gateway, "new-key").await })
+        until("the new key is accepted", || async { !refused(&system, gateway, "new-key").await })
             .await;
     }
     let back = |line: &String| line.contains("dependency regained name=store");
-    until("the log tells of it", || async { system.gateways[0].log().iter().any(back) }).await;
+    until("the gateway logs the end of the outage", || async {
+        system.gateways[0].log().iter().any(back)
+    })
+    .await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn history_that_is_gone_is_listed_anew() {
+async fn lists_keys_again_after_the_history_was_compacted() {
     let mut system = System::start(PLAN).await;
     for version in 2..8 {
         system.store_control("compact").await;
         let key = format!("key-{version}");
         system.configure(version, &[&key]).await;
         for gateway in 0..PLAN.gateways {
-            until("the key is taken", || async { !refused(&system, gateway, &key).await }).await;
+            until("the key is accepted", || async { !refused(&system, gateway, &key).await }).await;
         }
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn entries_that_lapse_in_an_outage_may_come_back() {
+async fn defers_removals_of_entries_that_lapsed_during_an_outage() {
     let system = System::start(PLAN).await;
     let entry = |index: u8| (format!("plain-{index}"), system.plain_address(index));
     system.store_control("fault/down").await;
     let lost = |line: &String| line.contains("dependency lost name=store");
     let mut since = None;
-    until("all have noticed, for longer than a short outage", || {
+    until("all gateways have detected the outage for longer than a short one", || {
         let all = system.gateways.iter().all(|gateway| gateway.log().iter().any(lost));
         let now = std::time::Instant::now();
         let since = if all { *since.get_or_insert(now) } else { now };
@@ -85,17 +90,17 @@
         system.remove(&format!("servers/{}", entry(index).0)).await;
     }
     system.store_control("fault/none").await;
-    until("the removals are known and held back", || async {
+    until("the removals are received and deferred", || async {
         let held = |line: &String| line.contains("removal held back key=servers/plain-1");
         system.gateways[0].log().iter().any(held)
     })
     .await;
-    // Nobody lost its backend servers meanwhile.
+    // The gateways still have their backend servers.
     assert_eq!(system.request(0, &Request::new("/alert/")).await.status, 200);
     let (id, address) = entry(1);
     system.put_entry(&id, loftcove_tests::system::SMS, address, "ready").await;
-    until("the one that stayed away is gone", || async {
-        // Its own wait is over, or a peer's was first.
+    until("the entry that was not rewritten is removed", || async {
+        // Either this gateway's deferral has ended or a peer's ended first.
         let over = |line: &String| {
             line.contains("removal held back is over key=servers/plain-0")
                 || (line.contains("learnt key=servers/plain-0") && line.contains("removed=true"))
--- a/tests/tests/visits.rs
+++ b/tests/tests/visits.rs
@@ -1,4 +1,4 @@
-//! The check of rests and of leaving counts as the users do.
+//! The checks of rests, leaves and rate limits count as the users do.
 
 use std::collections::BTreeMap;
 
@@ -9,28 +9,29 @@
     Visit { server, run: 0, request, at, shed: None, leaving: false, limit: None, told: false }
 }
 
-/// Requests that a client sent to gateway 0 and got answers to at once.
+/// Returns the client times of requests that gateway 0 received and answered at once.
 fn sent(visits: &[Visit]) -> BTreeMap<String, Sent> {
     let sent = |visit: &Visit| Sent { gateway: 0, at: visit.at, answered: visit.at };
     visits.iter().map(|visit| (visit.request.clone(), sent(visit))).collect()
 }
 
-/// A server asks for 2 s at 1,000 ms, and gets requests at these times.
-fn in_a_rest(times: &[u64]) -> usize {
+/// Returns the violations if a server asks for a rest of 2 s at 1,000 ms and receives requests at
+/// the given times.
+fn violations_in_rest(times: &[u64]) -> usize {
     let mut visits = vec![Visit { shed: Some("2".to_owned()), ..visit("asked", 1_000) }];
     visits.extend(times.iter().map(|at| visit(&format!("r{at}"), *at)));
     visits::rest_violations(&visits, &sent(&visits), &NoExemption).len()
 }
 
 #[test]
-fn two_requests_are_allowed_from_half_a_second_on_until_the_rest_is_over() {
+fn allows_two_requests_during_a_rest_after_half_a_second() {
     assert_eq!(MAX_REQUESTS_DURING_REST, 2);
-    assert_eq!(in_a_rest(&[1_100, 1_499, 1_500, 3_000, 3_001]), 0);
-    assert_eq!(in_a_rest(&[1_500, 2_000, 3_000]), 1);
+    assert_eq!(violations_in_rest(&[1_100, 1_499, 1_500, 3_000, 3_001]), 0);
+    assert_eq!(violations_in_rest(&[1_500, 2_000, 3_000]), 1);
 }
 
 #[test]
-fn another_run_and_another_gateway_were_asked_nothing() {
+fn ignores_rests_of_another_run_and_of_another_gateway() {
     let mut visits = vec![Visit { shed: Some("2".to_owned()), ..visit("asked", 1_000) }];
     visits.extend((0..9).map(|n| Visit { run: 1, ..visit(&format!("r{n}"), 2_000) }));
     visits.extend((0..9).map(|n| visit(&format!("g{n}"), 2_000)));
@@ -40,7 +41,7 @@
 }
 
 #[test]
-fn what_a_client_sends_later_than_the_drain_after_it_was_told_may_not_arrive() {
+fn counts_requests_sent_after_the_drain_time() {
     let told = Visit { leaving: true, ..visit("told", 1_000) };
     let late = |at| [told.clone(), visit("late", at)];
     let count =
@@ -49,9 +50,9 @@
     assert_eq!(count(&late(1_001 + DRAIN_MS)), 1);
 }
 
-/// A server names one request a second from 1,000 ms on, in an answer to gateway 0; then requests
-/// come at these times.
-fn over_a_limit(times: &[u64]) -> usize {
+/// Returns the overruns if a server names a limit of one request per second from 1,000 ms on, in
+/// an answer to gateway 0, and receives requests at the given times.
+fn overruns_of_limit(times: &[u64]) -> usize {
     let named = |request: &str, at| Visit { limit: Some(1.0), told: true, ..visit(request, at) };
     let mut visits = vec![named("first", 1_000)];
     visits.extend(times.iter().map(|at| named(&format!("r{at}"), *at)));
@@ -59,23 +60,23 @@
 }
 
 #[test]
-fn eleven_requests_are_allowed_within_four_seconds_at_one_a_second() {
+fn allows_eleven_requests_in_four_seconds_at_one_per_second() {
     let from = |first: u64, count: u64| -> Vec<u64> { (first..first + count).collect() };
-    // Those of the first three seconds do not count.
-    assert_eq!(over_a_limit(&from(3_900, 100)), 0);
-    assert_eq!(over_a_limit(&from(4_000, 11)), 0);
-    assert_eq!(over_a_limit(&from(4_000, 12)), 1);
+    // Requests of the first three seconds are not counted.
+    assert_eq!(overruns_of_limit(&from(3_900, 100)), 0);
+    assert_eq!(overruns_of_limit(&from(4_000, 11)), 0);
+    assert_eq!(overruns_of_limit(&from(4_000, 12)), 1);
     let spread: Vec<u64> = from(4_000, 11).into_iter().chain([8_001]).collect();
-    assert_eq!(over_a_limit(&spread), 0);
+    assert_eq!(overruns_of_limit(&spread), 0);
 }
 
 #[test]
-fn only_gateways_that_were_told_half_a_second_before_count() {
+fn counts_only_gateways_that_received_the_limit_half_a_second_before() {
     let named = |request: String, at| Visit { limit: Some(1.0), told: true, ..visit(&request, at) };
     let mut visits = vec![named("first".to_owned(), 1_000)];
     visits.extend((0..40).map(|n| named(format!("r{n}"), 5_000 + n)));
     let mut sent = sent(&visits);
-    // All but the first are of a gateway that passes its first answer on at 5,000 ms.
+    // All requests but the first are of a gateway that passes its first answer on at 5,000 ms.
     sent.values_mut().filter(|sent| sent.at >= 5_000).for_each(|sent| sent.gateway = 1);
     assert_eq!(visits::overruns(&visits, &sent, &NoExemption), []);
 }
