--- a/soak/src/check.rs
+++ b/soak/src/check.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use loftcove_tests::request::Arrival;
-use loftcove_tests::visits::{self, Excess, Excuse, Overrun, Sent, Visit};
+use loftcove_tests::visits::{self, Excess, Exemption, Overrun, Sent, Visit};
 
 use crate::client::{DEADLINE, End, Kind, Record};
 use crate::inject::Span;
@@ -144,8 +144,8 @@
     }
 }
 
-impl Excuse for Faults<'_> {
-    fn holds(&self, gateway: u8, server: &str, from: u64, to: u64) -> bool {
+impl Exemption for Faults<'_> {
+    fn applies(&self, gateway: u8, server: &str, from: u64, to: u64) -> bool {
         let spans = &self.evidence.spans;
         let mut own = spans.iter().filter(|span| span.process == Process::Gateway(gateway));
         let mut harms = self.evidence.harms.iter().filter(|(name, _)| name == server);
@@ -181,8 +181,8 @@
             (record.id.clone(), Sent { gateway: record.gateway, at, answered })
         });
         let sent: BTreeMap<String, Sent> = sent.collect();
-        let unrested = visits::worst(visits::unrested(&self.visits, &sent, &faults));
-        let undrained = visits::worst(visits::undrained(&self.visits, &sent, &faults));
+        let unrested = visits::worst(visits::rest_violations(&self.visits, &sent, &faults));
+        let undrained = visits::worst(visits::drain_violations(&self.visits, &sent, &faults));
         let overruns =
             visits::overruns(&self.visits, &sent, &faults).into_iter().map(Breach::LimitExceeded);
         unrested.into_iter().chain(undrained).map(Breach::NoticeIgnored).chain(overruns).collect()
@@ -319,5 +319,5 @@
         Kind::Alert => "/alert/soak",
         Kind::Draft(_) => "/draft/soak",
     };
-    (!arrival.sound(path)).then(|| Breach::Changed(record.id.clone(), arrival.0.to_string()))
+    (!arrival.is_intact(path)).then(|| Breach::Changed(record.id.clone(), arrival.0.to_string()))
 }
--- a/tests/tests/path.rs
+++ b/tests/tests/path.rs
@@ -1,11 +1,11 @@
-//! A request's whole way through real processes.
+//! Requests pass from entry hosts through agents to backend servers, all of them real processes.
 
 #![allow(clippy::unwrap_used, reason = "a test that fails may panic")]
 
 use loftcove_tests::{cluster, until};
 
 #[tokio::test(flavor = "multi_thread")]
-async fn requests_are_answered_through_the_whole_path() {
+async fn answers_requests_through_the_whole_path() {
     let cluster = cluster::Cluster::start(cluster::Plan::default()).await;
     for host in cluster.entries() {
         let caller = cluster.caller(&host);
@@ -21,7 +21,7 @@
         let newer = caller.over_http2().chat(cluster::MODEL, true, 7).await;
         assert_eq!((newer.tokens(), newer.outcome().as_str()), (7, "answered"), "{newer:?}");
         for path in ["/healthz", "/readyz", "/v1/models", "/metrics"] {
-            assert_eq!(caller.ask("GET", path, &[], "").await.status, 200, "{path}");
+            assert_eq!(caller.request("GET", path, &[], "").await.status, 200, "{path}");
         }
         let explained = cluster.tool("ana", &["explain", &streamed.request_id()]).await;
         assert!(explained.stdout.contains("candidates="), "{explained:?}");
