--- a/daemon/src/agent/server.rs
+++ b/daemon/src/agent/server.rs
@@ -24,19 +24,19 @@
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// No connection was established, so that nothing was sent.
-    #[error("cannot connect")]
+    #[error("not connected")]
     Connect,
     /// The call failed after it was sent, or may have been sent.
     #[error("{0}")]
     Call(legacy::Error),
     /// The response was incomplete or malformed, or the path was invalid.
-    #[error("invalid response")]
+    #[error("bad answer")]
     Answer,
     /// The response had an error status.
     #[error("status {0}")]
     Status(http::StatusCode),
     /// The call exceeded its time limit.
-    #[error("timed out")]
+    #[error("no answer in time")]
     Timeout,
 }
 
