--- a/gateway/src/health.rs
+++ b/gateway/src/health.rs
@@ -1,4 +1,4 @@
-//! Readiness for the platform, and metrics.
+//! Serves readiness checks of the platform, and metrics.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -12,13 +12,12 @@
 
 use crate::state;
 
-/// Path of the metrics.
 const METRICS_PATH: &str = "/metrics";
 
 fn answer<P: Protocol>(gateway: &state::Gateway<P>, path: &str) -> http::Response<Full<Bytes>> {
     let (status, text) = match path {
         METRICS_PATH => (http::StatusCode::OK, gateway.metrics.encode(gateway)),
-        path if path == P::READY_PATH && gateway.life.ready() => {
+        path if path == P::READY_PATH && gateway.lifecycle.ready() => {
             (http::StatusCode::OK, "ready\n".to_owned())
         }
         path if path == P::READY_PATH => {
@@ -31,7 +30,7 @@
     response
 }
 
-/// Answers on an address until the process ends.
+/// Serves readiness and metrics on a listener until the process exits.
 pub async fn serve<P: Protocol>(gateway: Arc<state::Gateway<P>>, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
--- a/gateway/src/state.rs
+++ b/gateway/src/state.rs
@@ -1,4 +1,4 @@
-//! What all requests of a gateway share.
+//! State that all requests of a gateway share.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::marker::PhantomData;
@@ -17,53 +17,53 @@
 
 use crate::{drain, metrics, upstream};
 
-/// Part of the retries allowed by the settings that is used: the rest is for
-/// clients whose requests cross, and for counts that differ by timing.
+/// Fraction of the configured retry allowance that is used. The remainder covers clients whose
+/// requests cross on the way, and counts that differ by timing.
 const RETRY_MARGIN: f64 = 0.75;
-/// Requests that may wait for a backend server.
+/// Maximum number of requests that wait for a backend server.
 const MAX_WAITING: usize = 512;
-/// Shortest time after which a refused client is told to come back.
-const SHORTEST_RETURN: Duration = Duration::from_millis(300);
-/// Time after which a client is told to come back whose group is broken. Groups
-/// are down for seconds, and clients wait for a third of their time at most:
-/// sooner would mostly be too soon.
-const GROUP_RETURN: Duration = Duration::from_millis(2_600);
+/// Minimum retry delay for the client of a rejected request.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(300);
+/// Retry delay for clients of a group that is unavailable. A group is unavailable for seconds, and
+/// clients wait for at most a third of their time, so a shorter delay would mostly bring them back
+/// too early.
+const GROUP_RETRY_AFTER: Duration = Duration::from_millis(2_600);
 
-/// Where a backend server takes requests.
+/// How to reach a backend server.
 #[derive(Debug, Clone)]
 pub struct Target {
-    /// Its run.
+    /// Run of the server.
     pub run: fleet::Run,
-    /// Address.
+    /// Address that accepts requests.
     pub address: SocketAddr,
-    /// Connections that this gateway may keep to it.
+    /// Maximum number of idle connections that this gateway keeps to the server.
     pub max_connections: usize,
-    /// Path at which it tells whether it serves.
+    /// Path of the health check, which reports whether the server serves.
     pub health_path: Option<Arc<str>>,
 }
 
-/// The gateway. Lock order, where more than one is held: the dispatcher, then
-/// the mirror; the pool of connections is taken alone.
+/// State of the gateway. Lock order, where more than one lock is held: the dispatcher, then the
+/// mirror. The lock of the connection pool is never held together with another one.
 pub struct Gateway<P> {
-    /// Its settings.
+    /// Settings of the gateway.
     pub settings: settings::Gateway,
-    /// Routes of the newest configuration; none before the first one.
+    /// Routes of the newest configuration. Empty until the first one has been received.
     pub routes: ArcSwapOption<route::Table>,
-    /// What is known of the store.
+    /// Local copy of the store's contents.
     pub mirror: Arc<mirror::Mirror>,
-    /// Decisions, and the requests that wait for them.
+    /// Dispatching decisions, and the requests that wait for them.
     pub dispatcher: Arc<dispatch::Dispatcher<Target>>,
-    /// Connections to backend servers.
+    /// Pool of connections to backend servers.
     pub upstream: upstream::Pool,
-    /// Whether it serves, drains or stops.
-    pub life: drain::Life,
-    /// Counters.
+    /// Lifecycle of the process, which tells whether it serves, drains or stops.
+    pub lifecycle: drain::Lifecycle,
+    /// Metrics of the gateway.
     pub metrics: metrics::Metrics,
     protocol: PhantomData<P>,
 }
 
 impl<P: Protocol> Gateway<P> {
-    /// A gateway that knows nothing yet.
+    /// Creates a gateway that has received neither a configuration nor a list of backend servers.
     pub fn new(settings: settings::Gateway) -> Gateway<P> {
         let ratio = settings.serving.retry_ratio * RETRY_MARGIN;
         let options = balancer::Options::default()
@@ -71,38 +71,38 @@
             .retry_ratio(ratio)
             .retry_reserve(0.0)
             .charge_full(true)
-            .min_retry_after(SHORTEST_RETURN)
-            .group_retry_after(GROUP_RETURN);
-        let life = drain::Life::new(settings.serving.max_descriptors);
+            .min_retry_after(MIN_RETRY_AFTER)
+            .group_retry_after(GROUP_RETRY_AFTER);
+        let lifecycle = drain::Lifecycle::new(settings.serving.max_descriptors);
         Gateway {
             settings,
             routes: ArcSwapOption::empty(),
             mirror: Arc::default(),
             dispatcher: Arc::new(dispatch::Dispatcher::new(&options)),
             upstream: upstream::Pool::default(),
-            life,
+            lifecycle,
             metrics: metrics::Metrics::default(),
             protocol: PhantomData,
         }
     }
 
-    /// Takes a configuration if it is newer than the present one.
-    fn take_config(&self, config: &Arc<route::Config>) {
-        let present = self.routes.load().as_ref().map(|table| table.version);
-        if present.is_some_and(|version| version >= config.version) {
+    /// Applies a configuration if it is newer than the current one.
+    fn apply_config(&self, config: &Arc<route::Config>) {
+        let current = self.routes.load().as_ref().map(|table| table.version);
+        if current.is_some_and(|version| version >= config.version) {
             return;
         }
         let version = config.version;
         self.routes.store(Some(Arc::new(route::Table::new(config.as_ref().clone()))));
         self.metrics.config_version.set(version as i64);
-        log::info!("configuration version={version} before={}", present.unwrap_or(0));
+        log::info!("configuration version={version} before={}", current.unwrap_or(0));
     }
 
-    /// Brings routes and backend servers up to the mirror.
+    /// Applies the mirror's current routes and backend servers.
     fn refresh(&self, catalog: &mut catalog::Catalog<P>) {
         catalog.update(&self.mirror);
         if let Some(config) = catalog.config() {
-            self.take_config(config);
+            self.apply_config(config);
         }
         let servers: Vec<(&fleet::Server, boot::Instant)> = catalog.servers_cold_until().collect();
         let drained = servers.iter().filter(|(server, _)| catalog.drained(server)).count();
@@ -118,8 +118,8 @@
         let own = rate::Peer { name: host.name.clone(), zone: host.zone.clone() };
         let listed = entries.into_iter().map(|(name, entry)| rate::Peer { name, zone: entry.zone });
         self.dispatcher.set_peers(rate::Peers::new(own, listed));
-        for run in self.mirror.lifts.news(&self.mirror) {
-            if let Some(time) = self.dispatcher.lift(&run) {
+        for run in self.mirror.lifts.take_updates(&self.mirror) {
+            if let Some(time) = self.dispatcher.lift_limit(&run) {
                 let ms = time.as_millis();
                 log::info!("server limit lifted server={} ms={ms} from=store", run.id);
             }
@@ -127,16 +127,16 @@
         let serving = &self.settings.serving;
         self.dispatcher.set_reserve(serving.retry_slack * RETRY_MARGIN / gateways as f64);
         let usable = !servers.is_empty();
-        self.list(catalog, &servers, gateways);
-        // Without backend servers it could only refuse.
+        self.update_servers(catalog, &servers, gateways);
+        // A gateway without backend servers could only reject requests.
         if usable && self.routes.load().is_some() {
-            self.life.handle(lifecycle::Event::Ready);
+            self.lifecycle.handle(lifecycle::Event::Ready);
         }
     }
 
-    /// Service and group of each engine, as drivers have written them: for
-    /// engines whose entries do not tell.
-    fn groups(&self) -> BTreeMap<SocketAddr, (Arc<str>, Arc<str>)> {
+    /// Returns service and group of each engine, as the drivers have written them. They are used
+    /// for engines whose entries don't name their group.
+    fn groups_by_member(&self) -> BTreeMap<SocketAddr, (Arc<str>, Arc<str>)> {
         let mut groups = BTreeMap::new();
         for (group, entry) in membership::entries(&self.mirror) {
             for member in entry.members {
@@ -146,7 +146,7 @@
         groups
     }
 
-    fn list(
+    fn update_servers(
         &self,
         catalog: &catalog::Catalog<P>,
         servers: &[(&fleet::Server, boot::Instant)],
@@ -155,8 +155,8 @@
         let routes = self.routes.load();
         let connections = |service: &str| {
             let service = routes.as_ref().and_then(|table| table.service(service).cloned());
-            let most = service.map_or(u32::MAX, |service| service.max_connections) as usize;
-            (most / gateways).max(1)
+            let total = service.map_or(u32::MAX, |service| service.max_connections) as usize;
+            (total / gateways).max(1)
         };
         let lockstep = |service: &str| {
             let service = routes.as_ref().and_then(|table| table.service(service));
@@ -168,7 +168,7 @@
             let service = routes.as_ref().and_then(|table| table.service(service));
             service.and_then(|service| service.health_path.clone())
         };
-        let groups = self.groups();
+        let groups = self.groups_by_member();
         let rank = |server: &fleet::Server| match &server.rank {
             Some(rank) => {
                 dispatch::Rank { group: rank.group.clone(), reported: Some(rank.clone()) }
@@ -176,7 +176,7 @@
             None => {
                 let known = groups.get(&server.address);
                 let known = known.filter(|(service, _)| *service == server.service);
-                // Until its members are known, a service counts as one group.
+                // A service counts as one group until its members are known.
                 let group =
                     known.map_or_else(|| server.service.clone(), |(_, group)| group.clone());
                 dispatch::Rank { group, reported: None }
@@ -208,17 +208,16 @@
             if let Some(engine) = &service.engine {
                 let cost = pass::Cost::new(engine.step, engine.step_per_stream, engine.steps);
                 self.dispatcher.set_cost(&service.name, cost);
-                self.dispatcher.set_form(&service.name, engine.form);
+                self.dispatcher.set_form_time(&service.name, engine.form);
             }
         }
         self.dispatcher.list(servers.iter().map(listing).collect());
         let runs: BTreeSet<fleet::Run> = servers.iter().map(|(server, _)| server.run()).collect();
-        self.upstream.keep(|run| runs.contains(run));
+        self.upstream.retain(|run| runs.contains(run));
     }
 }
 
-/// Brings the gateway up to the mirror whenever it changes, until the process
-/// ends.
+/// Applies each change of the mirror to the gateway until the process exits.
 pub async fn follow<P: Protocol>(gateway: Arc<Gateway<P>>) {
     let mut changes = gateway.mirror.subscribe();
     let mut catalog = catalog::Catalog::default();
--- a/gateway/src/stream.rs
+++ b/gateway/src/stream.rs
@@ -1,9 +1,9 @@
-//! Hands a stream of events on to the client.
+//! Relays event streams to clients.
 //!
-//! Only whole events are handed on. If the backend server breaks off, and the
-//! route allows it, another one goes on behind the last event within the same
-//! answer. A stream that cannot be ended is broken off towards the client as
-//! well, so that it does not look whole.
+//! Only complete events are relayed. If the backend server's connection breaks and the route allows
+//! it, another server resumes the stream after the last event within the same response. If no
+//! server can resume it, the response to the client is broken off too, so that it does not look
+//! complete.
 
 use std::fmt;
 use std::sync::Arc;
@@ -20,46 +20,45 @@
 use crate::body::{Broken, Part};
 use crate::drain;
 use crate::event::Splitter;
-use crate::flow::Begun;
+use crate::flow::Stream;
 use crate::request::Request;
 use crate::state::{Gateway, Target};
 
-/// Parts of an answer that may wait for a slow client.
-pub const QUEUE: usize = 8;
+/// Maximum number of parts of a response that wait for a slow client.
+pub const QUEUE_LEN: usize = 8;
 
-/// A stream on its way.
+/// A response that is being relayed to the client.
 pub struct Relay<P> {
-    /// The gateway.
+    /// Shared state of the gateway.
     pub gateway: Arc<Gateway<P>>,
-    /// The request.
+    /// The client's request.
     pub request: Arc<Request>,
-    /// Its place at the dispatcher.
+    /// The dispatcher's permit for the request.
     pub permit: dispatch::Permit<Target>,
-    /// Towards the client.
+    /// Sender of the response's body to the client.
     pub sender: mpsc::Sender<Part>,
-    /// Its share in the requests in flight.
-    pub _flight: drain::InFlight<P>,
-    /// What the client has seen of its pace.
+    /// Guard that counts the request as in flight.
+    pub _in_flight: drain::InFlight<P>,
+    /// Pace of the stream as seen by the client.
     pub timing: Timing,
 }
 
-/// When a stream's events came.
+/// Arrival times of a stream's events.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Timing {
-    /// From the request to the first event.
+    /// Time from the request to the first event.
     first: Option<Duration>,
-    /// Longest pause between two events, also while another backend server is
-    /// found.
+    /// Longest pause between two events, including pauses while the stream is being resumed.
     pause: Duration,
-    /// When the last event came.
+    /// Arrival time of the last event.
     last: Option<boot::Instant>,
 }
 
 impl Timing {
-    /// An event of a request that came then.
-    fn event(&mut self, came: boot::Instant) {
+    /// Records an event of a request that was received at `received`.
+    fn record(&mut self, received: boot::Instant) {
         let now = boot::Instant::now();
-        self.first.get_or_insert(now.saturating_duration_since(came));
+        self.first.get_or_insert(now.saturating_duration_since(received));
         let pause = self.last.map_or(Duration::ZERO, |last| now.saturating_duration_since(last));
         self.pause = self.pause.max(pause);
         self.last = Some(now);
@@ -75,119 +74,122 @@
 
 /// How one backend server's part of a stream ended.
 enum End {
-    /// The stream is whole.
+    /// The stream is complete.
     Whole,
-    /// The backend server broke off.
+    /// The connection to the backend server broke.
     Broken,
-    /// The client left.
-    Left,
-    /// Time is up.
-    Late,
-    /// Others found that servers end under it.
+    /// The client disconnected.
+    Disconnected,
+    /// The request's deadline passed.
+    TimedOut,
+    /// Others found that servers end under the request, so it is refused.
     Refused,
 }
 
 impl<P: Protocol> Relay<P> {
-    /// Hands the stream on until it ends.
-    pub async fn run(mut self, begun: Begun) {
+    /// Relays the event stream until it ends.
+    pub async fn run(mut self, stream: Stream) {
         let mut splitter = Splitter::default();
-        let mut begun = Some(begun);
-        while let Some(part) = begun.take() {
+        let mut stream = Some(stream);
+        while let Some(part) = stream.take() {
             let (server, target, status) = (part.server, part.target.clone(), part.head.status);
-            match self.pass(part, &mut splitter).await {
+            match self.forward_events(part, &mut splitter).await {
                 End::Whole => {
                     self.permit.end(balancer::End::Answered);
-                    self.gateway.came_to_its_end(&self.request, status);
+                    self.gateway.clear_suspicion(&self.request, status);
                     return self.done("answered", "whole");
                 }
-                End::Left => {
+                End::Disconnected => {
                     self.permit.end(balancer::End::Abandoned);
                     return self.done("client-left", "client-left");
                 }
-                End::Late => return self.break_off("deadline").await,
+                End::TimedOut => return self.abort("deadline").await,
                 End::Broken => {
                     let answer_begun = splitter.last_id().is_some();
-                    let broke = self.gateway.broke(&self.request, server, &target, answer_begun);
-                    let end = broke.await;
-                    begun = self.resume(&mut splitter, end).await;
+                    let classification =
+                        self.gateway.classify_break(&self.request, server, &target, answer_begun);
+                    let end = classification.await;
+                    stream = self.resume(&mut splitter, end).await;
                 }
                 End::Refused => {
                     self.gateway.abandon(&self.request, &target);
-                    return self.break_off("ends-servers").await;
+                    return self.abort("ends-servers").await;
                 }
             }
         }
-        self.break_off("backend-server-broke-off").await;
+        self.abort("backend-server-broke-off").await;
     }
 
-    /// Hands an answer that is no stream of events on as it comes.
-    pub async fn copy(mut self, begun: Begun, first: Bytes) {
-        let (server, target, status) = (begun.server, begun.target.clone(), begun.head.status);
-        let end = match self.hand_on(first).await {
+    /// Relays a response that is not an event stream, as it arrives.
+    pub async fn run_long(mut self, stream: Stream, first: Bytes) {
+        let (server, target, status) = (stream.server, stream.target.clone(), stream.head.status);
+        let end = match self.send(first).await {
             Some(end) => end,
-            None => self.copy_rest(begun).await,
+            None => self.forward_rest(stream).await,
         };
         match end {
             End::Whole => {
                 self.permit.end(balancer::End::Answered);
-                self.gateway.came_to_its_end(&self.request, status);
+                self.gateway.clear_suspicion(&self.request, status);
                 self.done("answered", "whole");
             }
-            End::Left => {
+            End::Disconnected => {
                 self.permit.end(balancer::End::Abandoned);
                 self.done("client-left", "client-left");
             }
-            End::Late => self.break_off("deadline").await,
+            End::TimedOut => self.abort("deadline").await,
             End::Broken => {
-                let end = self.gateway.broke(&self.request, server, &target, true).await;
+                let end = self.gateway.classify_break(&self.request, server, &target, true).await;
                 if end == balancer::End::ServerEnded {
                     self.permit.end(end);
                 }
-                self.break_off("backend-server-broke-off").await;
+                self.abort("backend-server-broke-off").await;
             }
             End::Refused => {
                 self.gateway.abandon(&self.request, &target);
-                self.break_off("ends-servers").await;
+                self.abort("ends-servers").await;
             }
         }
     }
 
-    async fn copy_rest(&self, mut begun: Begun) -> End {
+    async fn forward_rest(&self, mut stream: Stream) -> End {
         loop {
             let frame = tokio::select! {
                 biased;
-                () = self.sender.closed() => return End::Left,
-                frame = tokio::time::timeout_at(self.request.due.timer(), begun.body.frame()) => frame,
+                () = self.sender.closed() => return End::Disconnected,
+                frame = tokio::time::timeout_at(self.request.due.timer(), stream.body.frame()) => {
+                    frame
+                }
             };
             let data = match frame {
-                Err(_) => return End::Late,
+                Err(_) => return End::TimedOut,
                 Ok(None) => return End::Whole,
                 Ok(Some(Err(_))) => return End::Broken,
                 Ok(Some(Ok(frame))) => frame.into_data().unwrap_or_default(),
             };
-            if let Some(end) = self.hand_on(data).await {
+            if let Some(end) = self.send(data).await {
                 return end;
             }
         }
     }
 
-    /// Hands one backend server's part of the stream on.
-    async fn pass(&mut self, begun: Begun, splitter: &mut Splitter) -> End {
-        let Begun { mut body, answer, connection, target, .. } = begun;
-        // The first event's wait is no pause.
+    /// Relays one backend server's part of the event stream.
+    async fn forward_events(&mut self, stream: Stream, splitter: &mut Splitter) -> End {
+        let Stream { mut body, answer, connection, target, .. } = stream;
+        // The time until the first event does not count as a pause.
         let mut last: Option<boot::Instant> = None;
         let gateway = self.gateway.clone();
-        let refused = gateway.mirror.ends.refused(self.request.digest);
+        let refused = gateway.mirror.ends.wait_until_refused(self.request.digest);
         tokio::pin!(refused);
         loop {
             let frame = tokio::select! {
                 biased;
-                () = self.sender.closed() => return End::Left,
+                () = self.sender.closed() => return End::Disconnected,
                 _ = &mut refused => return End::Refused,
                 frame = tokio::time::timeout_at(self.request.due.timer(), body.frame()) => frame,
             };
             let data = match frame {
-                Err(_) => return End::Late,
+                Err(_) => return End::TimedOut,
                 Ok(None) => break,
                 Ok(Some(Err(_))) => return End::Broken,
                 Ok(Some(Ok(frame))) => frame.into_data().unwrap_or_default(),
@@ -195,13 +197,13 @@
             if let Some(events) = splitter.push(&data) {
                 self.observe(last.map_or(Duration::ZERO, |last: boot::Instant| last.elapsed()));
                 last = Some(boot::Instant::now());
-                if let Some(end) = self.hand_on(events).await {
+                if let Some(end) = self.send(events).await {
                     return end;
                 }
             }
         }
         if let Some(rest) = splitter.finish()
-            && let Some(end) = self.hand_on(rest).await
+            && let Some(end) = self.send(rest).await
         {
             return end;
         }
@@ -216,33 +218,33 @@
         self.gateway.done(&self.request, outcome, &format_args!("{reason} {}", self.timing));
     }
 
-    /// Tells the dispatcher how long the stream has paused.
+    /// Records an event, and reports the pause before it to the dispatcher.
     fn observe(&mut self, pause: Duration) {
-        self.timing.event(self.request.came);
+        self.timing.record(self.request.received);
         let wanted = self.request.grant.route.pause;
         if let Some(wanted) = wanted.filter(|wanted| !wanted.is_zero()) {
             self.permit.event(pause, wanted);
         }
     }
 
-    /// Hands bytes to the client; returns an end if that ends the stream.
-    async fn hand_on(&self, bytes: Bytes) -> Option<End> {
+    /// Sends bytes to the client. Returns how the stream ended if they cannot be sent.
+    async fn send(&self, bytes: Bytes) -> Option<End> {
         let sent = tokio::time::timeout_at(self.request.due.timer(), self.sender.send(Ok(bytes)));
         match sent.await {
             Ok(Ok(())) => None,
-            Ok(Err(_)) => Some(End::Left),
-            Err(_) => Some(End::Late),
+            Ok(Err(_)) => Some(End::Disconnected),
+            Err(_) => Some(End::TimedOut),
         }
     }
 
-    /// Finds another backend server that goes on behind the last event.
-    /// The part of before ended as `end` says.
-    async fn resume(&mut self, splitter: &mut Splitter, end: balancer::End) -> Option<Begun> {
+    /// Resumes the stream after the last event on another backend server. `end` is how the previous
+    /// part ended.
+    async fn resume(&mut self, splitter: &mut Splitter, end: balancer::End) -> Option<Stream> {
         splitter.discard();
         let after = splitter.last_id().cloned();
         let mut end = end;
         let gateway = self.gateway.clone();
-        let refused = gateway.mirror.ends.refused(self.request.digest);
+        let refused = gateway.mirror.ends.wait_until_refused(self.request.digest);
         tokio::pin!(refused);
         loop {
             self.permit.end(end);
@@ -255,7 +257,7 @@
                 dispatch::Next::Send(attempt) => attempt,
                 dispatch::Next::Refuse(refusal) => {
                     log::info!(
-                        "not resumed request={} after={} reason={}",
+                        "stream not resumed request={} after={} reason={}",
                         self.request.meta.id,
                         after.as_deref().unwrap_or("-"),
                         refusal.reason
@@ -272,22 +274,22 @@
                 sent = self.gateway.resume(&self.request, &attempt, after.clone()) => sent,
             };
             match sent {
-                Ok(begun) => {
+                Ok(stream) => {
                     self.gateway.metrics.resumed.inc();
-                    return Some(begun);
+                    return Some(stream);
                 }
                 Err((failed, cause)) => {
-                    self.gateway.note(&self.request, &attempt, &cause);
+                    self.gateway.log_failure(&self.request, &attempt, &cause);
                     end = failed;
                 }
             }
         }
     }
 
-    /// Breaks the answer off, so that the client does not take it to be whole.
-    async fn break_off(self, reason: &'static str) {
+    /// Breaks off the response, so that the client does not take it to be complete.
+    async fn abort(self, reason: &'static str) {
         self.done("broken-off", reason);
-        // The client may have left meanwhile.
+        // The client may have disconnected meanwhile.
         self.sender.send(Err(Broken)).await.unwrap_or_default();
     }
 }
--- a/sidecar/src/codec.rs
+++ b/sidecar/src/codec.rs
@@ -1,8 +1,7 @@
-//! Lists of numbers as our messages carry them: each list with its length
-//! before it.
+//! Encoding of lists of numbers in messages: each list is preceded by its length.
 
-/// Puts lists into one row of numbers.
-pub fn flatten<'a>(lists: impl IntoIterator<Item = &'a Vec<u16>>) -> Vec<u32> {
+/// Encodes lists as one sequence of numbers.
+pub fn encode<'a>(lists: impl IntoIterator<Item = &'a Vec<u16>>) -> Vec<u32> {
     let mut row = Vec::new();
     for list in lists {
         row.push(list.len() as u32);
@@ -11,8 +10,8 @@
     row
 }
 
-/// Takes a row apart into lists; `None` where it is not well formed.
-pub fn lists(row: &[u32]) -> Option<Vec<Vec<u16>>> {
+/// Decodes a sequence into its lists, or returns `None` if it is malformed.
+pub fn decode(row: &[u32]) -> Option<Vec<Vec<u16>>> {
     let mut lists = Vec::new();
     let mut rest = row;
     while let Some((length, tail)) = rest.split_first() {
--- a/sidecar/src/demand.rs
+++ b/sidecar/src/demand.rs
@@ -1,10 +1,10 @@
-//! How much each expert is in demand, from the counts of the ranks.
+//! Demand of the experts, computed from the counts of the ranks.
 
-/// What is left of the demand after one interval: a shift of demand shows
-/// within two or three, while single requests do not move it much.
-const KEPT: f64 = 0.55;
+/// Factor by which the demand decays per interval. A shift of the demand shows within two or three
+/// intervals, while single requests have little influence.
+const DECAY: f64 = 0.55;
 
-/// The demand, set by set.
+/// Demand by set and expert.
 #[derive(Debug, Default)]
 pub struct Demand {
     load: Vec<f64>,
@@ -13,9 +13,9 @@
 }
 
 impl Demand {
-    /// Takes how often experts were chosen in an interval; nothing where no rank
-    /// could tell.
-    pub fn take(&mut self, counts: &[u32]) {
+    /// Adds how often each expert was chosen in an interval. Does nothing if `counts` is empty,
+    /// because no rank reported any.
+    pub fn add(&mut self, counts: &[u32]) {
         if counts.is_empty() {
             return;
         }
@@ -24,26 +24,28 @@
         }
         self.newest = counts.iter().map(|count| f64::from(*count)).collect();
         for (load, newest) in self.load.iter_mut().zip(&self.newest) {
-            *load = *load * KEPT + newest;
+            *load = *load * DECAY + newest;
         }
     }
 
-    /// Forgets all but the last interval: demand has shifted since.
-    pub fn restart(&mut self) {
+    /// Discards all but the last interval, after a shift of the demand.
+    pub fn reset(&mut self) {
         self.load.clone_from(&self.newest);
     }
 
-    /// Demand of the experts of a set in the last interval alone.
+    /// Returns the demand of the experts of a set in the last interval alone. Each set has
+    /// `experts` experts.
     pub fn newest(&self, set: usize, experts: usize) -> &[f64] {
         self.newest.get(set * experts..(set + 1) * experts).unwrap_or_default()
     }
 
-    /// Demand of the experts of a set, where each has so many.
-    pub fn set(&self, set: usize, experts: usize) -> &[f64] {
+    /// Returns the exponentially smoothed demand of the experts of a set. Each set has `experts`
+    /// experts.
+    pub fn smoothed(&self, set: usize, experts: usize) -> &[f64] {
         self.load.get(set * experts..(set + 1) * experts).unwrap_or_default()
     }
 
-    /// Choices that the demand rests on.
+    /// Returns the number of choices that the demand is based on.
     pub fn total(&self) -> f64 {
         self.load.iter().sum()
     }
--- a/sidecar/src/lib.rs
+++ b/sidecar/src/lib.rs
@@ -1,28 +1,30 @@
-//! The sidecar: stands beside a model engine, one rank of a group that runs in
-//! lock-step, and changes the group's expert map.
+//! Sidecar of a model engine. An engine is one rank of a group that runs in lock-step; its sidecar
+//! takes part in changing the group's expert map.
 //!
-//! [`rank`] answers for the engine and carries out orders for it. One sidecar
-//! of each group is its driver, by a lease in the store ([`election`]): it
-//! collects what experts were chosen ([`demand`]), decides where they should be
-//! ([`plan`], by what is [`known`]) and takes all ranks over to a new map
-//! ([`drive`]), through [`group`]; in a large group by sidecars that pass on what
-//! is meant for others ([`relay`]). A map travels as its difference from one
-//! that the ranks hold ([`parcel`], [`maps`]). No request passes through a
-//! sidecar.
+//! [`rank`] reports the state of the engine and carries out orders for it. One sidecar of each
+//! group is its driver, elected by a lease in the store ([`election`]). The driver collects how
+//! often experts are chosen ([`demand`]), decides where they should be placed ([`plan`], based on
+//! its [`state`]) and switches all ranks to a new map ([`drive`]) through [`group`]. In a large
+//! group, sidecars relay messages to others ([`relay`]). A map is sent as its difference from one
+//! that the ranks hold ([`broadcast`], [`maps`]). Requests of clients don't pass through a sidecar.
+//!
+//! A *pass* is one step of the engines that all ranks of the group begin together. An *epoch* is
+//! the time from one formation of the group to the next. A *term* is the time for which a driver is
+//! elected. A group is *held* while a rank keeps it from beginning a certain pass.
 
+pub mod broadcast;
 pub mod codec;
 pub mod demand;
 mod drive;
 pub mod election;
 pub mod group;
-pub mod known;
 pub mod maps;
 pub mod member;
 mod metrics;
-pub mod parcel;
 pub mod plan;
 pub mod rank;
 pub mod relay;
+pub mod state;
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -39,34 +41,33 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tonic::transport::server::TcpIncoming;
 
-/// Gateways that a sidecar follows: with two, it hears of changes while one is
-/// cut off.
-const FOLLOWED: usize = 2;
-/// Longest time that a stopping driver may take to end a change it has begun.
-const STOP_TIME: Duration = Duration::from_secs(3);
+/// Gateways that a sidecar follows. With two, it receives updates while one is unreachable.
+const FOLLOWERS: usize = 2;
+/// Longest time that a stopping driver may take to complete a change that it has begun.
+const STOP_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Why the sidecar could not run.
+/// Reasons why the sidecar cannot run.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// An address cannot be listened on.
-    #[error("{address}: {source}")]
+    /// The sidecar cannot listen on an address.
+    #[error("cannot listen on {address}: {source}")]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// What the system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// Signals cannot be received.
-    #[error("signals cannot be received: {0}")]
+    /// Signal handlers cannot be installed.
+    #[error("cannot install signal handlers: {0}")]
     Signal(std::io::Error),
 }
 
-/// Runs a sidecar until it is told to stop. `connect` makes a client of the
-/// engine at an address.
+/// Runs a sidecar until it receives SIGTERM. `connect` creates a client of the engine at an
+/// address.
 ///
 /// # Errors
 ///
-/// An [`Error`] of an address or of the signals.
+/// Returns an [`Error`] if an address cannot be listened on or signals cannot be received.
 pub async fn run<P: Protocol, S: Store, E: Engine>(
     file: &Path,
     settings: settings::Sidecar,
@@ -76,13 +77,13 @@
     let mut terminate = signal(SignalKind::terminate()).map_err(Error::Signal)?;
     let mut hangup = signal(SignalKind::hangup()).map_err(Error::Signal)?;
     let host = settings.host.clone();
-    let peers = listen(settings.peering.peer_address).await?;
+    let peer_listener = listen(settings.peering.peer_address).await?;
     let metrics_listener = listen(host.metrics_address).await?;
     let mirror: Arc<Mirror> = Arc::default();
-    let own = follow::Own { name: host.name.clone(), zone: host.zone.clone(), address: None };
-    let known = Arc::new(follow::Peers::new(own, host.seeds.clone()));
-    for follower in 0..FOLLOWED {
-        tokio::spawn(follow::run(mirror.clone(), known.clone(), follower));
+    let own = follow::LocalHost { name: host.name.clone(), zone: host.zone.clone(), address: None };
+    let peers = Arc::new(follow::Peers::new(own, host.seeds.clone()));
+    for follower in 0..FOLLOWERS {
+        tokio::spawn(follow::run(mirror.clone(), peers.clone(), follower));
     }
     let metrics: Arc<metrics::Metrics> = Arc::default();
     tokio::spawn(metrics::serve(metrics.clone(), metrics_listener));
@@ -90,8 +91,8 @@
     let port = settings.peering.peer_address.port();
     let group = group::Group::new(settings.engine.address, port, Box::new(connect));
     let group = Arc::new(group);
-    tokio::spawn(serve(rank.clone(), group.clone(), peers));
-    let driver = drive::Driver::<P, S, E>::new(drive::Parts {
+    tokio::spawn(serve(rank.clone(), group.clone(), peer_listener));
+    let driver = drive::Driver::<P, S, E>::new(drive::Dependencies {
         rank,
         mirror,
         store: Arc::new(store),
@@ -105,23 +106,23 @@
     loop {
         tokio::select! {
             _ = terminate.recv() => break,
-            _ = hangup.recv() => reload(file, &known),
+            _ = hangup.recv() => reload(file, &peers),
         }
     }
     log::info!("stopping host={}", host.name);
     stop.send_replace(true);
-    if tokio::time::timeout(STOP_TIME, &mut driver).await.is_err() {
-        log::warn!("stopped within a change of the map");
+    if tokio::time::timeout(STOP_TIMEOUT, &mut driver).await.is_err() {
+        log::warn!("stop timeout expired during a map change");
     }
     log::info!("stopped host={}", host.name);
     Ok(())
 }
 
-fn reload(file: &Path, known: &follow::Peers) {
+fn reload(file: &Path, peers: &follow::Peers) {
     match settings::Sidecar::read(file) {
         Ok(settings) => {
             log::info!("reloaded file={} seeds={}", file.display(), settings.host.seeds.len());
-            known.set_seeds(settings.host.seeds);
+            peers.set_seeds(settings.host.seeds);
         }
         Err(error) => log::error!("reload failed error=\"{error}\" next=keep"),
     }
--- a/sidecar/src/rank.rs
+++ b/sidecar/src/rank.rs
@@ -1,10 +1,10 @@
-//! Answers for the engine beside this sidecar, and carries out orders for it.
+//! Reports the state of the engine beside this sidecar and carries out orders for it.
 //!
-//! An order is given again until the engine's own report shows its effect, or
-//! shows that it can no longer be had. Each is valid only as the next one after
-//! those that the engine has taken, so that one which is carried out late, and
-//! after another, is refused by the engine. Orders of a driver that has been
-//! replaced are refused here.
+//! An order is repeated until the engine's report shows its effect, or shows that it can no longer
+//! take effect. Each order states the number of orders that the engine has accepted before it, so
+//! that the engine rejects an order that arrives late, after another one. Orders of a driver that
+//! has been replaced are rejected here: the *fence* of a rank is the highest term that it has
+//! received.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -18,111 +18,112 @@
 use tonic::{Request, Response, Status};
 
 use crate::group::Group;
-use crate::maps::{self, Maps};
+use crate::maps;
 use crate::{codec, relay};
 
-/// Longest time for an order until the driver is told that its effect is not
-/// known. It asks again.
-const ORDER_TIME: Duration = Duration::from_millis(1_200);
-/// Time between two looks whether a map has been copied.
+/// Time after which the driver is told that the effect of an order is not known. The driver then
+/// repeats the order.
+const ORDER_TIMEOUT: Duration = Duration::from_millis(1_200);
+/// Interval at which the sidecar checks whether a map has been copied.
 const COPY_POLL: Duration = Duration::from_millis(40);
-/// Time after which an order that was accepted and shows no effect is given
-/// again. One to prepare a map is left to the driver, who asks again.
-const REPEAT_TIME: Duration = Duration::from_millis(500);
-/// Pause after an order that the engine did not answer or refused.
+/// Time after which an accepted order that shows no effect is repeated. An order to prepare a map
+/// is not repeated here, but by the driver.
+const REPEAT_DELAY: Duration = Duration::from_millis(500);
+/// Pause after an order that the engine rejected, and first pause after a report that failed.
 const RETRY_PAUSE: Duration = Duration::from_millis(10);
-/// Longest pause after a report that failed; the pause doubles up to this while
-/// the engine refuses connections, which takes no time.
-const LONGEST_RETRY_PAUSE: Duration = Duration::from_millis(320);
+/// Longest pause after a report that failed. The pause doubles up to this while the engine refuses
+/// connections, because such a failure takes no time.
+const MAX_RETRY_PAUSE: Duration = Duration::from_millis(320);
 
-/// Longest time between two looks at the counts for their difference to tell
-/// the present demand: a change of the map, during which nobody looks, takes
-/// less.
-const LOOK_TIME: Duration = Duration::from_secs(5);
+/// Maximum age of the previous counts for their difference to show the current demand. A change of
+/// the map, during which no counts are read, takes less time.
+const MAX_SAMPLE_AGE: Duration = Duration::from_secs(5);
 
-/// The engine and the highest term that was seen of a driver of its group.
+/// The engine and the highest term received from a driver of its group.
 pub struct Rank<E> {
-    /// The engine.
+    /// Client of the engine.
     pub engine: E,
     fence: Mutex<fence::Fence>,
-    maps: Mutex<Maps>,
-    looked: Mutex<Option<Look>>,
-    /// Whether the engine's reports are fresh, as they are on its own machine.
+    maps: Mutex<maps::Cache>,
+    last_sample: Mutex<Option<Sample>>,
+    /// Whether the engine's reports are up to date, as they are if it runs on the same machine.
     fresh: bool,
 }
 
-/// Counts that a driver has had.
-struct Look {
+/// Counts that were returned to a driver.
+struct Sample {
     at: boot::Instant,
     born: Option<u64>,
     counts: Vec<u64>,
 }
 
-impl Look {
-    /// How often each expert was chosen from an earlier look to this one; none
-    /// where the engine has started anew between them, and counts from zero.
-    fn since(&self, before: &Look) -> Option<Vec<u32>> {
+impl Sample {
+    /// Returns how often each expert was chosen since an earlier sample, or `None` if the engine
+    /// was restarted in between, because it then counts from zero.
+    fn since(&self, before: &Sample) -> Option<Vec<u32>> {
         if self.born != before.born || self.counts.len() != before.counts.len() {
             return None;
         }
         let pairs = self.counts.iter().zip(&before.counts);
-        let grown = pairs.map(|(now, before)| now.checked_sub(*before));
-        grown.map(|count| count.and_then(|count| u32::try_from(count).ok())).collect()
+        let growth = pairs.map(|(now, before)| now.checked_sub(*before));
+        growth.map(|count| count.and_then(|count| u32::try_from(count).ok())).collect()
     }
 }
 
-/// An order of a driver.
+/// Order of a driver.
 #[derive(Debug, Clone)]
 pub struct Step {
-    /// Group that it is for.
+    /// Group that the order is for.
     pub group: Arc<str>,
     /// Term of the driver.
     pub term: u64,
     /// Epoch of the group.
     pub epoch: u64,
-    /// The order.
+    /// Order to the engine.
     pub order: Order,
 }
 
 impl<E: Engine> Rank<E> {
-    /// A sidecar that has seen no term.
+    /// Creates a rank that has received no term.
     pub fn new(engine: E) -> Rank<E> {
         Rank::with(engine, true)
     }
 
-    /// An engine on another machine, whose reports are old: orders do not
-    /// count on the number of orders that they tell.
-    pub fn afar(engine: E) -> Rank<E> {
+    /// Creates a rank whose engine runs on another machine. Its reports may be outdated, so that
+    /// orders are sent without the number of accepted orders that a report contains.
+    pub fn remote(engine: E) -> Rank<E> {
         Rank::with(engine, false)
     }
 
     fn with(engine: E, fresh: bool) -> Rank<E> {
-        let (fence, maps, looked) = Default::default();
-        Rank { engine, fence, maps, looked, fresh }
+        let (fence, maps, last_sample) = Default::default();
+        Rank { engine, fence, maps, last_sample, fresh }
     }
 
-    /// How often each expert was chosen since a driver last looked; empty where
-    /// nobody did for long.
-    async fn choices(&self) -> Result<Vec<u32>, Error> {
+    /// Returns how often each expert was chosen since a driver last read the counts, or an empty
+    /// list if none did within [`MAX_SAMPLE_AGE`].
+    async fn count_growth(&self) -> Result<Vec<u32>, Error> {
         let Counts { counts, born, .. } = self.engine.counts().await?;
-        let now = Look { at: boot::Instant::now(), born, counts };
-        let mut looked = lock(&self.looked);
-        let before = looked.take().filter(|look| look.at.elapsed() < LOOK_TIME);
-        let grown = before.and_then(|before| now.since(&before));
-        *looked = Some(now);
-        Ok(grown.unwrap_or_default())
+        let now = Sample { at: boot::Instant::now(), born, counts };
+        let mut last_sample = lock(&self.last_sample);
+        let before = last_sample.take().filter(|sample| sample.at.elapsed() < MAX_SAMPLE_AGE);
+        let growth = before.and_then(|before| now.since(&before));
+        *last_sample = Some(now);
+        Ok(growth.unwrap_or_default())
     }
 
-    /// The step that a message tells.
+    /// Decodes the step of a message.
     async fn step(&self, message: &wire::Step) -> Result<Step, Fault> {
         let (version, pass) = (message.version, message.pass);
         let order = match message.operation() {
-            wire::Operation::Unspecified => return Err(Fault::Malformed("no operation".into())),
+            wire::Operation::Unspecified => {
+                return Err(Fault::Malformed("no operation".into()));
+            }
             wire::Operation::Prepare => {
                 let report = self.engine.report().await.map_err(Fault::Engine)?;
                 let ranks = report.group.map_or(0, |group| group.size);
                 let map = message.map.clone().unwrap_or_default();
-                let map = lock(&self.maps).take(&map, ranks as usize);
+                let map = lock(&self.maps).decode(&map, ranks as usize);
                 Order::Prepare { version, map: map.map_err(Fault::Map)? }
             }
             wire::Operation::Arm => Order::Arm { version, pass },
@@ -134,17 +135,17 @@
         Ok(Step { group, term: message.term, epoch: message.epoch, order })
     }
 
-    /// Carries out the step that a message tells.
+    /// Carries out the step of a message.
     pub async fn carry_message(&self, message: &wire::Step) -> Result<wire::Result, Fault> {
         let step = match self.step(message).await {
             Ok(step) => step,
             Err(Fault::Map(maps::Error::BaseMissing)) => {
-                log::info!("map not made version={} reason=base-missing", message.version);
+                log::info!("cannot decode map version={} reason=base-missing", message.version);
                 let effect = wire::Effect::BaseMissing.into();
                 return Ok(wire::Result { effect, condition: None });
             }
             Err(fault) => {
-                log::error!("step not taken term={} error=\"{fault}\"", message.term);
+                log::error!("step rejected term={} error=\"{fault}\"", message.term);
                 return Err(fault);
             }
         };
@@ -153,9 +154,9 @@
         Ok(wire::Result { effect: effect.into(), condition })
     }
 
-    /// Takes a term of a driver of the engine's present group; returns the
-    /// highest one seen. A term of zero claims nothing.
-    pub fn see(&self, group: &Arc<str>, term: u64) -> u64 {
+    /// Records the term of a driver of the engine's current group and returns the highest one
+    /// received. A term of zero records nothing.
+    pub fn observe(&self, group: &Arc<str>, term: u64) -> u64 {
         let mut fence = lock(&self.fence);
         let before = fence.observe(group, 0);
         let highest = fence.observe(group, term);
@@ -165,9 +166,9 @@
         highest
     }
 
-    /// Carries an order out.
+    /// Carries out a step. Returns its effect and the last report of the engine.
     pub async fn carry(&self, step: &Step) -> (wire::Effect, Option<Report>) {
-        let end = boot::Instant::now() + ORDER_TIME;
+        let end = boot::Instant::now() + ORDER_TIMEOUT;
         let mut seen = None;
         let mut refusals = 0;
         let mut accepted: Option<boot::Instant> = None;
@@ -180,23 +181,23 @@
                         log::warn!("report failed order={:?} error=\"{error}\"", kind(&step.order));
                     }
                     tokio::time::sleep(pause).await;
-                    pause = (pause * 2).min(LONGEST_RETRY_PAUSE);
+                    pause = (pause * 2).min(MAX_RETRY_PAUSE);
                     continue;
                 }
             };
             seen = Some(report.clone());
             let own = report.group.as_ref().filter(|own| own.name == step.group);
-            if own.is_some_and(|own| self.see(&own.name, step.term) > step.term) {
+            if own.is_some_and(|own| self.observe(&own.name, step.term) > step.term) {
                 return (wire::Effect::Superseded, seen);
             }
-            match judge(step, &report) {
-                Standing::Shown => return (wire::Effect::Confirmed, seen),
-                Standing::Over => return (wire::Effect::Refused, seen),
-                Standing::Open if accepted.is_some_and(|at| under_way(&step.order, at)) => {
+            match progress(step, &report) {
+                Progress::Done => return (wire::Effect::Confirmed, seen),
+                Progress::Impossible => return (wire::Effect::Refused, seen),
+                Progress::Pending if accepted.is_some_and(|at| in_progress(&step.order, at)) => {
                     tokio::time::sleep(COPY_POLL).await;
                 }
-                Standing::Open => {
-                    match self.give(step, &report).await {
+                Progress::Pending => {
+                    match self.order_once(step, &report).await {
                         Ok(Verdict::Accepted) => accepted = Some(boot::Instant::now()),
                         Ok(Verdict::Conflict | Verdict::Refused(_)) => {
                             refusals += 1;
@@ -205,8 +206,8 @@
                             }
                             tokio::time::sleep(RETRY_PAUSE).await;
                         }
-                        // Not known: the next report tells.
-                        Err(Error::Silent(_) | Error::Protocol { .. }) => {}
+                        // The effect is not known; the next report shows it.
+                        Err(Error::NoAnswer(_) | Error::Protocol { .. }) => {}
                     }
                 }
             }
@@ -214,8 +215,8 @@
         (wire::Effect::Unknown, seen)
     }
 
-    /// Gives the order once, without a look at the engine's state.
-    pub async fn give_unseen(&self, step: &Step) -> Result<Verdict, Error> {
+    /// Sends the order once, without reading the engine's state first.
+    pub async fn order_unchecked(&self, step: &Step) -> Result<Verdict, Error> {
         let verdict = self.engine.order(&step.order, step.epoch, None).await;
         log::info!(
             "order kind={} term={} epoch={} from=afar outcome={verdict:?}",
@@ -226,8 +227,8 @@
         verdict
     }
 
-    /// Gives the order once.
-    async fn give(&self, step: &Step, report: &Report) -> Result<Verdict, Error> {
+    /// Sends the order once.
+    async fn order_once(&self, step: &Step, report: &Report) -> Result<Verdict, Error> {
         let after = self.fresh.then_some(report.orders);
         let verdict = self.engine.order(&step.order, step.epoch, after).await;
         log::info!(
@@ -242,16 +243,16 @@
     }
 }
 
-/// Why a message of a step is not carried out.
+/// Reasons why the step of a message is not carried out.
 #[derive(Debug, thiserror::Error)]
 pub enum Fault {
-    /// The message makes no sense.
+    /// The message is malformed.
     #[error("step is malformed: {0}")]
     Malformed(String),
-    /// Its map cannot be made.
+    /// The map of the step cannot be decoded.
     #[error("map of the step: {0}")]
     Map(maps::Error),
-    /// The engine does not tell its place.
+    /// The engine does not report its place in the group.
     #[error(transparent)]
     Engine(Error),
 }
@@ -270,58 +271,58 @@
     mutex.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
 }
 
-/// Times that an engine may refuse an order, in a state in which it should
-/// take it, before the refusal is believed: another order may have come
-/// between the report and this one.
+/// Number of times that an engine may reject an order, in a state in which it should accept it,
+/// before the order counts as refused. Another order may have arrived between the report and this
+/// one.
 const MAX_REFUSALS: u32 = 2;
 
-/// How an order stands by the engine's report.
+/// Progress of an order according to the engine's report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Standing {
-    /// The report shows its effect.
-    Shown,
-    /// It can no longer be had.
-    Over,
-    /// It is to be given.
-    Open,
+enum Progress {
+    /// The report shows the effect of the order.
+    Done,
+    /// The order can no longer take effect.
+    Impossible,
+    /// The order is to be sent.
+    Pending,
 }
 
-/// Whether an order that was accepted then may yet show its effect by itself:
-/// copying takes as long as it takes, and reports do not tell of it.
-fn under_way(order: &Order, accepted: boot::Instant) -> bool {
-    matches!(order, Order::Prepare { .. }) || accepted.elapsed() < REPEAT_TIME
+/// Returns whether an order accepted at `accepted` may still take effect without being repeated.
+/// Copying may take arbitrarily long, and reports do not show its progress.
+fn in_progress(order: &Order, accepted: boot::Instant) -> bool {
+    matches!(order, Order::Prepare { .. }) || accepted.elapsed() < REPEAT_DELAY
 }
 
-fn judge(step: &Step, report: &Report) -> Standing {
-    let Some(group) = &report.group else { return Standing::Over };
+fn progress(step: &Step, report: &Report) -> Progress {
+    let Some(group) = &report.group else { return Progress::Impossible };
     if group.name != step.group || group.epoch != step.epoch {
-        return Standing::Over;
+        return Progress::Impossible;
     }
     match &step.order {
         Order::Prepare { version, .. } => match report.prepared {
-            Some(prepared) if prepared == *version => Standing::Shown,
-            Some(prepared) if prepared > *version => Standing::Over,
-            _ if report.map >= *version => Standing::Over,
-            _ => Standing::Open,
+            Some(prepared) if prepared == *version => Progress::Done,
+            Some(prepared) if prepared > *version => Progress::Impossible,
+            _ if report.map >= *version => Progress::Impossible,
+            _ => Progress::Pending,
         },
         Order::Arm { version, pass } => match report.armed {
-            Some(armed) if armed == (*version, *pass) => Standing::Shown,
-            _ if report.map == *version => Standing::Shown,
-            _ if report.pass >= *pass => Standing::Over,
-            _ => Standing::Open,
+            Some(armed) if armed == (*version, *pass) => Progress::Done,
+            _ if report.map == *version => Progress::Done,
+            _ if report.pass >= *pass => Progress::Impossible,
+            _ => Progress::Pending,
         },
         Order::Disarm { version } => match report.armed {
-            Some((armed, _)) if armed == *version => Standing::Open,
-            _ => Standing::Shown,
+            Some((armed, _)) if armed == *version => Progress::Pending,
+            _ => Progress::Done,
         },
         Order::Hold { pass } => match report.held {
-            Some(held) if held == *pass => Standing::Shown,
-            _ if report.pass >= *pass => Standing::Over,
-            _ => Standing::Open,
+            Some(held) if held == *pass => Progress::Done,
+            _ if report.pass >= *pass => Progress::Impossible,
+            _ => Progress::Pending,
         },
         Order::Release { pass } => match report.held {
-            Some(held) if held == *pass => Standing::Open,
-            _ => Standing::Shown,
+            Some(held) if held == *pass => Progress::Pending,
+            _ => Progress::Done,
         },
     }
 }
@@ -336,20 +337,20 @@
     }
 }
 
-/// The service that other sidecars call.
+/// gRPC service that other sidecars call.
 pub struct Service<E> {
     rank: Arc<Rank<E>>,
     group: Arc<Group<E>>,
 }
 
 impl<E: Engine> Service<E> {
-    /// A service for this engine, which relays to the others of its group.
+    /// Creates the service for this engine. It relays to other ranks of the group.
     pub fn new(rank: Arc<Rank<E>>, group: Arc<Group<E>>) -> Service<E> {
         Service { rank, group }
     }
 }
 
-/// A report as a message.
+/// Encodes a report.
 pub fn condition(term: u64, report: &Report) -> wire::Condition {
     let group = report.group.as_ref();
     let (armed_version, armed_pass) = report.armed.unwrap_or_default();
@@ -375,28 +376,29 @@
     }
 }
 
-/// State of an engine, with what else is asked for.
+/// Returns the state of an engine, with the counts and experts that the inspection asks for.
 pub async fn inspect<E: Engine>(
     rank: &Rank<E>,
     inspection: &wire::Inspection,
 ) -> Result<wire::Condition, Error> {
     let report = rank.engine.report().await?;
     let own = report.group.as_ref();
-    // A driver of another group learns only that this engine is not one of its.
+    // A driver of another group receives no more than that this engine does not belong to its
+    // group.
     let term = own.map_or(0, |own| {
         let same = *own.name == *inspection.group;
-        rank.see(&own.name, if same { inspection.term } else { 0 })
+        rank.observe(&own.name, if same { inspection.term } else { 0 })
     });
     let mut condition = condition(term, &report);
     if condition.group != inspection.group {
         return Ok(condition);
     }
     if inspection.counts {
-        condition.counts = rank.choices().await?;
+        condition.counts = rank.count_growth().await?;
     }
     if inspection.experts {
         let (held, _) = rank.engine.lists().await?;
-        condition.experts = codec::flatten(&held.experts);
+        condition.experts = codec::encode(&held.experts);
     }
     Ok(condition)
 }
--- a/sidecar/src/relay.rs
+++ b/sidecar/src/relay.rs
@@ -1,11 +1,10 @@
-//! Serves several ranks on behalf of the driver of their group.
+//! Relaying of messages to several ranks on behalf of the driver of their group.
 //!
-//! A driver that sends to every rank itself spends, in a large group, more of
-//! its link and processor than a change may take. So it sends to one rank of
-//! each part ([`loftcove_decision::map::tree`]), which sends on to the others
-//! and returns what came of it. A relay decides nothing: each rank checks term,
-//! epoch and group by itself, and whoever does not answer the relay is left to
-//! the driver.
+//! In a large group, a driver that sends to every rank itself uses more bandwidth and processor
+//! time than a change may take. So it sends an errand to one rank of each part
+//! ([`loftcove_decision::map::tree`]). That rank is the relay: it sends on to the other ranks of
+//! the part and returns their findings. A relay makes no decisions: each rank checks term, epoch
+//! and group itself, and ranks that do not answer the relay are left to the driver.
 
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, SocketAddr};
 use std::sync::Arc;
@@ -21,62 +20,63 @@
 use crate::group::Group;
 use crate::rank::{self, Rank};
 
-/// Findings that may wait for a slow caller.
+/// Number of messages with findings that are buffered for a slow caller.
 pub const QUEUE: usize = 4;
-/// Most ranks of an errand, far more than a group has.
+/// Maximum number of ranks of an errand, far more than a group has.
 const MAX_ENGINES: usize = 1 << 16;
-/// Longest time that an errand may ask for.
+/// Maximum time limit of an errand.
 const MAX_LIMIT: Duration = Duration::from_secs(5);
-/// Time of the limit that a relay leaves for its own relays' answers to reach it.
+/// Part of the time limit that a relay reserves for answers of its own relays to reach it.
 const HOP_TIME: Duration = Duration::from_millis(25);
-/// Findings of steps that are returned together at the most.
+/// Maximum number of findings of steps in one message.
 const BATCH: usize = 64;
 
-/// Why an errand is not run.
+/// Reasons why an errand is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
     /// An address has neither 6 nor 18 bytes.
     #[error("address of an engine is malformed")]
     Address,
-    /// More ranks than any group has.
+    /// The errand lists more ranks than any group has.
     #[error("errand names too many engines")]
     Engines,
-    /// Neither a step nor an inspection.
+    /// The errand contains neither a step nor an inspection.
     #[error("errand asks for nothing")]
     Work,
 }
 
-/// What is done at each rank.
+/// Work to do at each rank.
 #[derive(Debug, Clone)]
 pub enum Work {
-    /// A step is carried out.
+    /// Carry out a step.
     Step(wire::Step),
-    /// The state is read.
+    /// Read the state.
     Inspection(wire::Inspection),
 }
 
-/// What a relay does.
+/// Task of a relay.
 #[derive(Debug, Clone)]
 pub struct Errand {
-    /// What is done.
+    /// Work to do at each rank.
     pub work: Work,
     /// Engines of the ranks.
     pub engines: Vec<SocketAddr>,
-    /// Time until the caller stops waiting.
+    /// Time after which the caller stops waiting.
     pub limit: Duration,
 }
 
 impl Errand {
-    /// Reads a message.
+    /// Decodes an errand.
     ///
     /// # Errors
     ///
-    /// An [`Error`] for one that makes no sense.
+    /// Returns an [`Error`] if the message is malformed.
     pub fn read(message: wire::Errand) -> Result<Errand, Error> {
         if message.engines.len() > MAX_ENGINES {
             return Err(Error::Engines);
         }
-        let engines = message.engines.iter().map(|bytes| address(bytes).ok_or(Error::Address));
+        let engines =
+            message.engines.iter().map(|bytes| decode_address(bytes).ok_or(Error::Address));
         let work = match (message.step, message.inspection) {
             (Some(step), _) => Work::Step(step),
             (None, Some(inspection)) => Work::Inspection(inspection),
@@ -89,7 +89,7 @@
         })
     }
 
-    /// The message.
+    /// Encodes the errand.
     pub fn message(&self) -> wire::Errand {
         let (step, inspection) = match &self.work {
             Work::Step(step) => (Some(step.clone()), None),
@@ -98,13 +98,13 @@
         wire::Errand {
             step,
             inspection,
-            engines: self.engines.iter().map(octets).collect(),
+            engines: self.engines.iter().map(encode_address).collect(),
             limit_ms: self.limit.as_millis() as u32,
         }
     }
 }
 
-fn octets(address: &SocketAddr) -> Bytes {
+fn encode_address(address: &SocketAddr) -> Bytes {
     let mut octets = match address.ip() {
         IpAddr::V4(ip) => ip.octets().to_vec(),
         IpAddr::V6(ip) => ip.octets().to_vec(),
@@ -113,7 +113,7 @@
     octets.into()
 }
 
-fn address(octets: &[u8]) -> Option<SocketAddr> {
+fn decode_address(octets: &[u8]) -> Option<SocketAddr> {
     let (ip, port) = octets.split_last_chunk::<2>()?;
     let ip: IpAddr = match ip.len() {
         4 => Ipv4Addr::from(<[u8; 4]>::try_from(ip).ok()?).into(),
@@ -123,8 +123,8 @@
     Some(SocketAddr::new(ip, u16::from_be_bytes(*port)))
 }
 
-/// Adds choices up, rank by rank.
-pub fn add(sum: &mut Vec<u32>, counts: &[u32]) {
+/// Adds the counts of a rank to a sum.
+pub fn add_counts(sum: &mut Vec<u32>, counts: &[u32]) {
     if sum.is_empty() {
         sum.resize(counts.len(), 0);
     }
@@ -133,7 +133,7 @@
     }
 }
 
-/// Runs an errand until its limit, or until its caller has gone.
+/// Runs an errand until its time limit, or until its caller disconnects.
 pub async fn run<E: Engine>(
     group: Arc<Group<E>>,
     local: Arc<Rank<E>>,
@@ -149,11 +149,11 @@
     };
     tokio::select! {
         () = served => {}
-        () = sender.closed() => log::info!("errand dropped reason=caller-left"),
+        () = sender.closed() => log::info!("errand cancelled reason=caller-left"),
     }
 }
 
-/// Returns what came of a step at each rank as it comes in.
+/// Returns the results of a step in the order in which the ranks answer.
 async fn serve_step<E: Engine>(
     group: &Group<E>,
     local: &Rank<E>,
@@ -179,7 +179,7 @@
     }
 }
 
-/// Returns the states that came in within the limit, and the sum of the counts.
+/// Returns the states that were received within the limit, and the sum of the counts.
 async fn serve_inspection<E: Engine>(
     group: &Group<E>,
     local: &Rank<E>,
@@ -191,18 +191,18 @@
     let collect = async {
         let mut found = parts(group, local, errand, limit);
         while let Some(findings) = found.next().await {
-            add(&mut all.counts, &findings.counts);
+            add_counts(&mut all.counts, &findings.counts);
             all.findings.extend(findings.findings);
         }
     };
     if tokio::time::timeout(limit, collect).await.is_err() {
-        log::info!("errand's time is over engines={}", errand.engines.len());
+        log::info!("errand timed out engines={}", errand.engines.len());
     }
-    // A caller that has left wants no answer.
+    // The caller may have disconnected.
     sender.send(Ok(all)).await.unwrap_or_default();
 }
 
-/// Runs an errand at the parts of its ranks, each by itself.
+/// Splits an errand into parts and runs them independently of each other.
 fn parts<'a, E: Engine>(
     group: &'a Group<E>,
     local: &'a Rank<E>,
@@ -228,14 +228,14 @@
 ) -> wire::Findings {
     let engines: Vec<SocketAddr> = part.iter().map(|place| errand.engines[*place]).collect();
     let mut findings = match engines[..] {
-        [engine] if engine == group.own() => here(local, &errand.work).await,
-        [engine] => group.ask(engine, &errand.work, limit).await,
+        [engine] if engine == group.own() => serve_own(local, &errand.work).await,
+        [engine] => group.call_rank(engine, &errand.work, limit).await,
         _ => {
             let errand = Errand { work: errand.work.clone(), engines, limit };
-            group.relayed(&errand).await.unwrap_or_default()
+            group.call_relay(&errand).await.unwrap_or_default()
         }
     };
-    // Places are those of this errand.
+    // Places refer to the part. They are converted to places of this errand.
     findings.findings.retain(|finding| (finding.place as usize) < part.len());
     for finding in &mut findings.findings {
         finding.place = part[finding.place as usize] as u32;
@@ -243,34 +243,34 @@
     findings
 }
 
-/// Does the work at the engine beside this sidecar.
-async fn here<E: Engine>(local: &Rank<E>, work: &Work) -> wire::Findings {
+/// Does the work at this sidecar's own engine.
+async fn serve_own<E: Engine>(local: &Rank<E>, work: &Work) -> wire::Findings {
     match work {
         Work::Step(step) => match local.carry_message(step).await {
-            Ok(result) => of_step(result),
-            // Said where it was found; the driver asks the rank itself.
+            Ok(result) => step_findings(result),
+            // Logged where the error occurred; the driver calls the rank directly.
             Err(_) => wire::Findings::default(),
         },
         Work::Inspection(inspection) => match rank::inspect(local, inspection).await {
-            Ok(condition) => of_inspection(condition),
+            Ok(condition) => inspection_findings(condition),
             Err(error) => {
-                log::info!("engine not inspected engine=own error=\"{error}\"");
+                log::info!("cannot inspect engine engine=own error=\"{error}\"");
                 wire::Findings::default()
             }
         },
     }
 }
 
-/// What came of a step at one rank.
-pub fn of_step(result: wire::Result) -> wire::Findings {
+/// Converts the result of a step at one rank to findings.
+pub fn step_findings(result: wire::Result) -> wire::Findings {
     let epoch = result.condition.map(|condition| condition.epoch);
     let condition = epoch.map(|epoch| wire::Condition { epoch, ..wire::Condition::default() });
     let finding = wire::Finding { place: 0, effect: result.effect, condition };
     wire::Findings { findings: vec![finding], counts: Vec::new() }
 }
 
-/// What was read at one rank.
-pub fn of_inspection(mut condition: wire::Condition) -> wire::Findings {
+/// Converts the state of one rank to findings.
+pub fn inspection_findings(mut condition: wire::Condition) -> wire::Findings {
     let counts = std::mem::take(&mut condition.counts);
     let finding = wire::Finding { condition: Some(condition), ..wire::Finding::default() };
     wire::Findings { findings: vec![finding], counts }
--- a/sidecar/tests/relays.rs
+++ b/sidecar/tests/relays.rs
@@ -1,5 +1,6 @@
-//! A step reaches every rank of a large group by relays, whatever befalls some
-//! of them, and a map reaches each rank by its difference from one it holds.
+//! Tests of relays in a large group. A step must reach every rank even if the sidecars of some
+//! ranks are gone or silent, and a map must reach every rank as a difference from one that it
+//! holds.
 
 #![allow(clippy::unwrap_used, reason = "a test that fails may panic")]
 
@@ -12,15 +13,15 @@
 use common::{Fault, GROUP, Ranks, SETS, TERM, step};
 use loftcove_decision::map::difference;
 use loftcove_interface::engine::{Map, Order};
-use loftcove_sidecar::parcel::{Parcel, Source};
+use loftcove_sidecar::broadcast::{Broadcast, Source};
 use loftcove_sidecar::relay::{Errand, Error, Work};
 use loftcove_wire as wire;
 use prost::Message as _;
 
 const RANKS: usize = 192;
 
-/// A map that gives each rank of set after set an expert more.
-fn next(map: &Map, number: usize) -> Map {
+/// Returns a map with one more expert on one rank of each set.
+fn with_added_experts(map: &Map, number: usize) -> Map {
     let mut next = map.clone();
     let ranks = map[0].len();
     for (set, lists) in next.iter_mut().enumerate() {
@@ -30,16 +31,16 @@
     next
 }
 
-fn prepare(base: &Map, map: &Map, version: u64) -> Parcel {
+fn prepare(base: &Map, map: &Map, version: u64) -> Broadcast {
     let source = Source { base: Arc::new(base.clone()), experts: 2 * base[0].len() };
-    Parcel::new(step(Order::Prepare { version, map: Arc::new(map.clone()) }), source)
+    Broadcast::new(step(Order::Prepare { version, map: Arc::new(map.clone()) }), source)
 }
 
-fn opening(ranks: usize) -> Map {
+fn initial_map(ranks: usize) -> Map {
     difference::round_robin(SETS, 2 * ranks, ranks)
 }
 
-/// All ranks confirmed and have exactly this map.
+/// Asserts that all ranks confirmed the step and hold exactly this map.
 fn assert_prepared(
     ranks: &Ranks,
     effects: &BTreeMap<std::net::SocketAddr, wire::Effect>,
@@ -53,25 +54,28 @@
         let state = table.state.lock().unwrap();
         let (prepared, held) = state.prepared.as_ref().unwrap();
         assert_eq!((*prepared, difference::digest(held)), (version, difference::digest(map)));
-        // Engines compare maps to the letter, whichever way they came.
+        // Engines compare maps exactly, independent of how the maps were sent.
         assert_eq!(first.get_or_insert_with(|| held.clone()), held, "rank {rank}");
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn maps_follow_one_another_by_their_differences() {
+async fn sends_consecutive_maps_as_differences() {
     let ranks = common::start(RANKS, &BTreeMap::new()).await;
-    let (first, second) = (next(&opening(RANKS), 1), next(&next(&opening(RANKS), 1), 2));
-    let parcel = prepare(&opening(RANKS), &first, 10);
-    assert_prepared(&ranks, &ranks.deliver(&parcel).await, &first, 10);
-    let parcel = prepare(&first, &second, 11);
-    assert_prepared(&ranks, &ranks.deliver(&parcel).await, &second, 11);
+    let (first, second) = (
+        with_added_experts(&initial_map(RANKS), 1),
+        with_added_experts(&with_added_experts(&initial_map(RANKS), 1), 2),
+    );
+    let broadcast = prepare(&initial_map(RANKS), &first, 10);
+    assert_prepared(&ranks, &ranks.deliver(&broadcast).await, &first, 10);
+    let broadcast = prepare(&first, &second, 11);
+    assert_prepared(&ranks, &ranks.deliver(&broadcast).await, &second, 11);
 }
 
-/// Bytes and messages that the driver sends for one change of a few experts
-/// in each set, all phases together, at several sizes of the group.
+/// Measures the bytes and messages that the driver sends for one change of a few experts in each
+/// set, over all phases, at two sizes of the group. They must grow more slowly than the group.
 #[tokio::test]
-async fn what_a_driver_sends_grows_slower_than_the_group() {
+async fn traffic_of_a_driver_grows_slower_than_the_group() {
     let mut before = 0;
     for size in [192, 1_024] {
         let engines: Vec<std::net::SocketAddr> = (0..size)
@@ -83,20 +87,20 @@
         let zones: BTreeMap<_, Arc<str>> = zones.collect();
         let zone = |engine: &std::net::SocketAddr| -> Arc<str> { zones[engine][..4].into() };
         let group = common::unreached(engines[0]);
-        group.set(engines.iter().map(|engine| (*engine, zone(engine))).collect());
-        let parcel = prepare(&opening(size), &next(&opening(size), 1), 10);
+        group.set_engines(engines.iter().map(|engine| (*engine, zone(engine))).collect());
+        let broadcast = prepare(&initial_map(size), &with_added_experts(&initial_map(size), 1), 10);
         let parts = group.parts(&engines);
         assert!(parts.len() <= 21, "{} parts of {size} ranks", parts.len());
         let message = |part: &Vec<usize>| {
             let engines = part.iter().map(|place| engines[*place]).collect();
-            let work = Work::Step(parcel.message().clone());
+            let work = Work::Step(broadcast.message().clone());
             let errand = Errand { work, engines, limit: std::time::Duration::from_secs(1) };
             errand.message().encoded_len()
         };
-        // To prepare and to arm; hold and release go to one rank.
+        // One message each to prepare and to arm; hold and release go to one rank only.
         let bytes = 2 * parts.iter().map(message).sum::<usize>();
         assert!(bytes < 30_000, "{bytes} bytes at {size} ranks");
-        // Six bytes and two of framing name a rank.
+        // Each rank takes six bytes for its address and two of framing.
         let names = 2 * 8 * size;
         assert!(before == 0 || bytes - names < 2 * before, "{bytes} bytes at {size} ranks");
         before = bytes - names;
@@ -104,31 +108,34 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_rank_without_the_base_is_told_the_whole_map() {
+async fn sends_the_whole_map_to_ranks_without_the_base_map() {
     let ranks = common::start(RANKS, &BTreeMap::new()).await;
-    // No rank has seen the map that the next one is told by.
-    let (first, second) = (next(&opening(RANKS), 1), next(&next(&opening(RANKS), 1), 2));
-    let parcel = prepare(&first, &second, 10);
-    assert_prepared(&ranks, &ranks.deliver(&parcel).await, &second, 10);
+    // No rank has received the map that the second one is encoded against.
+    let (first, second) = (
+        with_added_experts(&initial_map(RANKS), 1),
+        with_added_experts(&with_added_experts(&initial_map(RANKS), 1), 2),
+    );
+    let broadcast = prepare(&first, &second, 10);
+    assert_prepared(&ranks, &ranks.deliver(&broadcast).await, &second, 10);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn relays_that_are_gone_or_silent_cost_little() {
-    // The first of many parts, in every zone.
+async fn delivers_steps_despite_unavailable_relays() {
+    // The first ranks of many parts, in every zone. Rank 0 drives and has no fault.
     let gone = (0..8).map(|rank| (rank, Fault::Gone));
     let silent = (8..16).map(|rank| (rank, Fault::Silent));
     let faults: BTreeMap<usize, Fault> = gone.chain(silent).filter(|(rank, _)| *rank > 0).collect();
     let ranks = common::start(RANKS, &faults).await;
-    let map = next(&opening(RANKS), 1);
-    let parcel = prepare(&opening(RANKS), &map, 10);
-    assert_prepared(&ranks, &ranks.deliver(&parcel).await, &map, 10);
+    let map = with_added_experts(&initial_map(RANKS), 1);
+    let broadcast = prepare(&initial_map(RANKS), &map, 10);
+    assert_prepared(&ranks, &ranks.deliver(&broadcast).await, &map, 10);
     for (rank, table) in ranks.tables.iter().enumerate() {
-        let afar = table.state.lock().unwrap().from_afar;
-        assert!(afar > 0 || !faults.contains_key(&rank), "rank {rank} has no sidecar");
+        let remote = table.state.lock().unwrap().remote_orders;
+        assert!(remote > 0 || !faults.contains_key(&rank), "rank {rank} has no sidecar");
     }
-    // The next step knows whom to pass over: what is left is the wait for the
+    // The second step skips the relays that did not answer the first one. It waits only for those
     // ranks themselves.
-    let arm = Parcel::new(step(Order::Arm { version: 10, pass: 200 }), Source::default());
+    let arm = Broadcast::new(step(Order::Arm { version: 10, pass: 200 }), Source::default());
     let begun = Instant::now();
     let effects = ranks.deliver(&arm).await;
     assert!(effects.values().all(|effect| *effect == wire::Effect::Confirmed), "{effects:?}");
@@ -136,24 +143,24 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn fences_hold_through_relays() {
+async fn rejects_relayed_steps_of_a_lower_term() {
     let ranks = common::start(RANKS, &BTreeMap::new()).await;
     let inspection =
         wire::Inspection { term: TERM + 1, group: GROUP.to_owned(), ..wire::Inspection::default() };
-    // A rank that does not answer in time is left out of a look.
+    // Ranks that do not answer in time are omitted from the survey, so it is repeated.
     while ranks.group.survey(&ranks.driver, &ranks.engines, &inspection).await.conditions.len()
         < RANKS
     {}
-    let map = next(&opening(RANKS), 1);
-    let effects = ranks.deliver(&prepare(&opening(RANKS), &map, 10)).await;
+    let map = with_added_experts(&initial_map(RANKS), 1);
+    let effects = ranks.deliver(&prepare(&initial_map(RANKS), &map, 10)).await;
     assert!(effects.values().all(|effect| *effect == wire::Effect::Superseded), "{effects:?}");
     assert!(ranks.tables.iter().all(|table| table.state.lock().unwrap().orders == 0));
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn sums_of_counts_are_those_of_all_ranks() {
+async fn sums_the_counts_of_all_ranks() {
     let ranks = common::start(RANKS, &BTreeMap::new()).await;
-    let look = || async {
+    let survey = || async {
         let inspection = wire::Inspection {
             term: TERM,
             counts: true,
@@ -166,13 +173,13 @@
     for (rank, table) in ranks.tables.iter().enumerate() {
         table.state.lock().unwrap().counts = vec![rank as u64, 1_000];
     }
-    assert!(look().await.counts.is_empty(), "nobody has looked before");
+    assert!(survey().await.counts.is_empty(), "no counts were read before");
     loop {
         for table in &ranks.tables {
             table.state.lock().unwrap().counts[0] += 3;
         }
-        let survey = look().await;
-        // Those that did not answer in time are left out.
+        let survey = survey().await;
+        // Ranks that do not answer in time are omitted from the survey.
         if survey.conditions.len() == 16 && survey.counts == [3 * 16, 0] {
             break;
         }
@@ -181,13 +188,13 @@
 }
 
 #[tokio::test]
-async fn a_map_that_is_not_the_one_meant_never_reaches_an_engine() {
+async fn rejects_maps_that_do_not_match_their_digest_or_base() {
     use loftcove_sidecar::maps;
     use loftcove_sidecar::rank::Fault;
     let ranks = common::start(2, &BTreeMap::new()).await;
-    let parcel = prepare(&opening(2), &next(&opening(2), 1), 10);
+    let broadcast = prepare(&initial_map(2), &with_added_experts(&initial_map(2), 1), 10);
     let carried = async |change: fn(&mut wire::Difference)| {
-        let mut step = parcel.message().clone();
+        let mut step = broadcast.message().clone();
         change(step.map.as_mut().unwrap());
         ranks.driver.carry_message(&step).await
     };
@@ -198,14 +205,14 @@
     assert!(matches!(cut, Err(Fault::Map(maps::Error::Malformed(_)))), "{cut:?}");
     let base = carried(|map| map.base += 1).await.unwrap();
     assert_eq!(base.effect(), wire::Effect::BaseMissing);
-    // A shape that no group has takes no memory.
+    // A shape that no group has must not cause an allocation.
     let huge = carried(|map| (map.base, map.sets) = (1, u32::MAX)).await.unwrap();
     assert_eq!(huge.effect(), wire::Effect::BaseMissing);
     assert_eq!(ranks.tables[0].state.lock().unwrap().orders, 0);
 }
 
 #[tokio::test]
-async fn malformed_errands_are_refused() {
+async fn rejects_malformed_errands() {
     let sound = wire::Errand {
         step: Some(wire::Step::default()),
         engines: vec![vec![127, 0, 0, 1, 31, 164].into()],
@@ -214,7 +221,7 @@
     };
     let errand = Errand::read(sound.clone()).unwrap();
     assert_eq!(errand.engines, ["127.0.0.1:8100".parse().unwrap()]);
-    assert!(errand.limit.as_secs() <= 5, "no caller keeps a relay for longer");
+    assert!(errand.limit.as_secs() <= 5, "the limit that a caller asks for is capped");
     let read = |errand| Errand::read(errand).err();
     let short = wire::Errand { engines: vec![vec![1, 2, 3].into()], ..sound.clone() };
     assert_eq!(read(short), Some(Error::Address));
