--- a/standins/src/group.rs
+++ b/standins/src/group.rs
@@ -9,7 +9,7 @@
 //!
 //! - `PUT /orders?lost=N&late=N`: every Nth order is dropped, or is executed half a second late.
 //!   Neither is answered.
-//! - `PUT /popular?expert=N`: moves the popularity to the experts that start at N.
+//! - `PUT /popular?expert=N`: makes the experts N, N+R, N+2R and N+3R popular, for R ranks.
 //! - `PUT /break` and `PUT /mend`: breaks the group, and re-forms it.
 //! - `PUT /shed?server=ID&each=N&rest=TEXT`: every Nth request of the server, or of each server if
 //!   no id is given, is answered 503 with `Retry-After: TEXT`, or without the header if the text is
