--- a/daemon/src/agent/run.rs
+++ b/daemon/src/agent/run.rs
@@ -17,7 +17,8 @@
 const REQUEST_ID: &str = "x-request-id";
 /// Header with the precedence, which model engines schedule by.
 const PRIORITY: &str = "x-priority";
-/// Frames buffered for a slow caller. Once the buffer is full, the response is read no further.
+/// Number of frames buffered for a slow caller. While the buffer is full, the response is not read
+/// further, which may block the backend server.
 const FRAME_BUFFER: usize = 32;
 
 /// Frames of one attempt.
